--- a/wharf/wharfadmission/advice.go
+++ b/wharf/wharfadmission/advice.go
@@ -14,9 +14,9 @@
 	retryJitter = 0.5
 )
 
-// SpreadAdvice returns a later time to come back at by a random number from 0 to
+// AddJitter returns a later time to come back at by a random number from 0 to
 // 1, so that callers don't come back together.
-func SpreadAdvice(advice time.Duration, random float64) time.Duration {
+func AddJitter(advice time.Duration, random float64) time.Duration {
 	return advice + time.Duration(random*retryJitter*float64(advice))
 }
 
@@ -31,7 +31,7 @@
 	if g.cfg.Rand == nil {
 		return advice
 	}
-	return SpreadAdvice(advice, g.cfg.Rand.Float64())
+	return AddJitter(advice, g.cfg.Rand.Float64())
 }
 
 func (g *Gate) measureDrain(now time.Time) {
--- a/wharf/wharfadmission/aimd.go
+++ b/wharf/wharfadmission/aimd.go
@@ -63,7 +63,7 @@
 
 // Observe takes one sample and, at the end of a window, decides.
 func (a *AIMD) Observe(now time.Time, s Sample) {
-	if s.Result == Withdrawn {
+	if s.Result == Cancelled {
 		return
 	}
 	a.window.add(now, s, &a.baseline)
@@ -86,22 +86,22 @@
 	refused := a.window.refusedShare() > shedShare
 	switch {
 	case refused:
-		a.cut(0)
+		a.decrease(0)
 	case ratio < congestedRatio:
-		a.calm()
-	case a.cutRatio > 0 && unmoved(a.cutRatio, ratio):
+		a.increase()
+	case a.cutRatio > 0 && latencyUnchanged(a.cutRatio, ratio):
 		a.rebase(ratio)
 	case a.cutRatio == 0 && !a.steady(ratio):
 		// Requests from before the trouble are mixed in. A cut now could not
 		// be told from the trouble itself.
 	default:
-		a.cut(ratio)
+		a.decrease(ratio)
 	}
 }
 
-// unmoved reports whether latency stayed where it was although the limit was
+// latencyUnchanged reports whether latency stayed where it was although the limit was
 // cut. A rise means that the trouble was still growing, which shows nothing.
-func unmoved(before, after float64) bool {
+func latencyUnchanged(before, after float64) bool {
 	expectedFall := (before - 1) * (1 - decreaseFactor)
 	fall := before - after
 	return math.Abs(fall) < relievedShare*expectedFall
@@ -116,7 +116,7 @@
 	return math.Abs(ratio-last) <= steadyShare*last || a.unsteady > maxUnsteady
 }
 
-func (a *AIMD) cut(ratio float64) {
+func (a *AIMD) decrease(ratio float64) {
 	a.lastRatio, a.unsteady = 0, 0
 	if a.cutRatio == 0 {
 		a.limitBeforeCuts = a.limit
@@ -142,7 +142,7 @@
 	a.cold = true
 }
 
-func (a *AIMD) calm() {
+func (a *AIMD) increase() {
 	a.cutRatio = 0
 	a.lastRatio, a.unsteady = 0, 0
 	for rank := range a.baseline {
--- a/wharf/wharfadmission/backpressure_test.go
+++ b/wharf/wharfadmission/backpressure_test.go
@@ -66,7 +66,7 @@
 	var b Backpressure
 	now := time.Unix(1000, 0)
 	for range 100 {
-		b.Observe(now, MaxPressure)
+		b.Observe(now, MaxQueueDelay)
 		now = now.Add(50 * time.Millisecond)
 	}
 	last := PriorityOf(2, bucketsPerRank-1)
@@ -74,5 +74,5 @@
 	is.True(b.Admit(now, PriorityOf(0, 0))) // some of it always comes
 	now = now.Add(10 * time.Second)
 	is.True(b.Admit(now, last))
-	is.Equal(b.Pressure(now), time.Duration(0))
+	is.Equal(b.QueueDelay(now), time.Duration(0))
 }
--- a/wharf/wharfadmission/gate.go
+++ b/wharf/wharfadmission/gate.go
@@ -14,14 +14,14 @@
 	minQueue = 8
 	// latencyWeight smooths the latency that estimates are made from.
 	latencyWeight = 0.1
-	// luckyShare is the part of the usual latency in which a request can still end
+	// optimisticShare is the part of the usual latency in which a request can still end
 	// with some luck. It is tried where nobody else waits for the slot: late is
 	// better than never.
-	luckyShare = 0.5
-	// answerMargin is the time that a refusal takes back to its caller: some
+	optimisticShare = 0.5
+	// responseMargin is the time that a refusal takes back to its caller: some
 	// round trips between failure domains. Who is refused later than this before
 	// the deadline doesn't hear that the request has not run.
-	answerMargin = 10 * time.Millisecond
+	responseMargin = 10 * time.Millisecond
 )
 
 // Refusal ends a request that did not run.
@@ -111,8 +111,8 @@
 func (g *Gate) Offer(now time.Time, t Ticket) Effects {
 	var fx Effects
 	t.Rank = min(max(t.Rank, 0), rankCount-1)
-	g.turn(now)
-	if !g.canEnd(now, t) {
+	g.advanceWindows(now)
+	if !g.canFinish(now, t) {
 		g.refuse(&fx, t.ID, wharfoutcome.ReasonDeadline)
 		return fx
 	}
@@ -141,14 +141,14 @@
 		g.observe(now, now.Sub(r.started), Sample{Rank: r.Rank, Latency: latency, Result: result, Saturated: saturated})
 		break
 	}
-	g.turn(now)
+	g.advanceWindows(now)
 	g.fill(now, &fx)
 	g.shed(&fx)
 	return fx
 }
 
-// Withdraw removes a request whose caller went away while it waited.
-func (g *Gate) Withdraw(id uint64) bool {
+// Cancel removes a request whose caller went away while it waited.
+func (g *Gate) Cancel(id uint64) bool {
 	return g.queue.removeID(id)
 }
 
@@ -161,8 +161,8 @@
 	// LowestRank is the largest rank that waits, -1 if none does. It gives way
 	// to a more important request.
 	LowestRank int
-	// Room is how many more requests may wait.
-	Room int
+	// QueueRoom is how many more requests may wait.
+	QueueRoom int
 }
 
 // Load returns the present load.
@@ -173,7 +173,7 @@
 		Limit:      g.cfg.Limiter.Limit(),
 		Level:      LevelOpen,
 		LowestRank: g.queue.lowestRank(),
-		Room:       max(g.queueCapacity()-g.queue.len(), 0),
+		QueueRoom:  max(g.queueCapacity()-g.queue.len(), 0),
 	}
 	if g.cfg.Levels {
 		l.Level = g.level.Threshold()
@@ -197,7 +197,7 @@
 	for g.queue.len() > 0 {
 		i := g.queue.first(g.ranking())
 		t := g.queue.tickets[i]
-		if !g.canEnd(now, t) {
+		if !g.canFinish(now, t) {
 			g.queue.remove(i)
 			g.refuse(fx, t.ID, wharfoutcome.ReasonDeadline)
 			continue
@@ -207,12 +207,12 @@
 		}
 		g.queue.remove(i)
 		g.running = append(g.running, running{t, now})
-		g.noteWait(now.Sub(t.Arrived))
+		g.recordWait(now.Sub(t.Arrived))
 		fx.Run = append(fx.Run, t.ID)
 	}
 }
 
-func (g *Gate) noteWait(wait time.Duration) {
+func (g *Gate) recordWait(wait time.Duration) {
 	if !g.waitSeen || wait < g.shortestWait {
 		g.shortestWait = wait
 	}
@@ -236,8 +236,8 @@
 	return capacity
 }
 
-// Wait estimates how long a request that comes now waits for a slot.
-func (g *Gate) Wait() time.Duration {
+// EstimatedWait estimates how long a request that comes now waits for a slot.
+func (g *Gate) EstimatedWait() time.Duration {
 	limit := g.cfg.Limiter.Limit()
 	if len(g.running) < limit {
 		return 0
@@ -270,15 +270,15 @@
 	return max(int(share*float64(limit)), 1)
 }
 
-// canEnd reports whether a request can still be answered in time. An idle
+// canFinish reports whether a request can still be answered in time. An idle
 // target always gets a request, so that a wrong estimate mends itself.
-func (g *Gate) canEnd(now time.Time, t Ticket) bool {
+func (g *Gate) canFinish(now time.Time, t Ticket) bool {
 	switch {
 	case len(g.running) == 0:
 		return t.Deadline.After(now)
 	case g.uncontended(t):
-		lucky := time.Duration(luckyShare * float64(g.estimate(t.Rank)))
-		return now.Before(t.Deadline.Add(-max(lucky, answerMargin)))
+		lucky := time.Duration(optimisticShare * float64(g.estimate(t.Rank)))
+		return now.Before(t.Deadline.Add(-max(lucky, responseMargin)))
 	}
 	return now.Before(g.LatestStart(t))
 }
@@ -301,7 +301,7 @@
 // LatestStart returns when a request that still waits is to be given up: it
 // could not be answered in time, but its caller still hears that it has not run.
 func (g *Gate) LatestStart(t Ticket) time.Time {
-	return t.Deadline.Add(-max(g.estimate(t.Rank), answerMargin))
+	return t.Deadline.Add(-max(g.estimate(t.Rank), responseMargin))
 }
 
 func (g *Gate) refuse(fx *Effects, id uint64, reason wharfoutcome.Reason) {
--- a/wharf/wharfadmission/gate_test.go
+++ b/wharf/wharfadmission/gate_test.go
@@ -109,7 +109,7 @@
 		}
 		delete(w.waiting, id)
 		w.ended++
-		if !w.gate.Withdraw(id) {
+		if !w.gate.Cancel(id) {
 			return fmt.Errorf("%w: %d waited and could not be withdrawn", errInvariant, id)
 		}
 		return w.apply(now, Effects{})
@@ -178,7 +178,7 @@
 	is := is.New(t)
 	g := NewGate(Config{Limiter: fixedLimit(1)})
 	deadline := epoch.Add(time.Second)
-	is.Equal(g.LatestStart(Ticket{Deadline: deadline}), deadline.Add(-answerMargin))
+	is.Equal(g.LatestStart(Ticket{Deadline: deadline}), deadline.Add(-responseMargin))
 	g.Offer(epoch, Ticket{ID: 1, Deadline: deadline})
 	g.Finish(epoch.Add(300*time.Millisecond), 1, 300*time.Millisecond, Answered)
 	is.Equal(g.LatestStart(Ticket{Deadline: deadline}), deadline.Add(-300*time.Millisecond))
--- a/wharf/wharfadmission/gradient.go
+++ b/wharf/wharfadmission/gradient.go
@@ -38,7 +38,7 @@
 
 // Observe takes one sample and, at the end of a window, decides.
 func (g *Gradient) Observe(now time.Time, s Sample) {
-	if s.Result == Withdrawn {
+	if s.Result == Cancelled {
 		return
 	}
 	g.window.add(now, s, &g.long)
--- a/wharf/wharfadmission/lag_test.go
+++ b/wharf/wharfadmission/lag_test.go
@@ -23,7 +23,7 @@
 	lagTick = 10 * time.Millisecond
 	// lagTime is three hops, each with the age of a mean over a window and the way
 	// of an answer, and half a window until the next decision.
-	lagTime = 3*(pressureWindow+20*time.Millisecond) + pressureWindow/2
+	lagTime = 3*(delayWindow+20*time.Millisecond) + delayWindow/2
 	// lagLongest is the wait above which calls are lost.
 	lagLongest = 250 * time.Millisecond
 )
@@ -70,5 +70,5 @@
 	is.True(lost < 0.02)
 	// After the burst all is let in within seconds.
 	l.run(5*time.Second, 30)
-	is.Equal(l.node.Share(l.now, 2), 1.0)
+	is.Equal(l.node.AdmittedShare(l.now, 2), 1.0)
 }
--- a/wharf/wharfadmission/limiter.go
+++ b/wharf/wharfadmission/limiter.go
@@ -16,11 +16,11 @@
 	Shed
 	// Failed means that the target gave no answer.
 	Failed
-	// Late means that the deadline came first. The target needs at least the
+	// DeadlineExceeded means that the deadline came first. The target needs at least the
 	// latency of the sample.
-	Late
-	// Withdrawn means that the caller went away; it says nothing of the target.
-	Withdrawn
+	DeadlineExceeded
+	// Cancelled means that the caller went away; it says nothing of the target.
+	Cancelled
 )
 
 // Sample is what one finished dispatch shows of its target.
@@ -53,12 +53,12 @@
 	limit int
 }
 
-// kneeShare is the share of its slots up to which a target keeps its speed.
-const kneeShare = 0.95
+// saturationShare is the share of its slots up to which a target keeps its speed.
+const saturationShare = 0.95
 
 // NewFixed returns the limiter of a target that announced its slots.
 func NewFixed(slots int) Fixed {
-	return Fixed{limit: max(int(kneeShare*float64(slots)), 1)}
+	return Fixed{limit: max(int(saturationShare*float64(slots)), 1)}
 }
 
 // Limit returns the number of requests that may run.
--- a/wharf/wharfadmission/limiter_test.go
+++ b/wharf/wharfadmission/limiter_test.go
@@ -117,7 +117,7 @@
 	l := NewAIMD(100)
 	before := l.Limit()
 	for i := range 100 {
-		l.Observe(epoch.Add(time.Duration(i)*time.Second), Sample{Latency: time.Hour, Result: Withdrawn})
+		l.Observe(epoch.Add(time.Duration(i)*time.Second), Sample{Latency: time.Hour, Result: Cancelled})
 	}
 	is.Equal(l.Limit(), before)
 }
--- a/wharf/wharfadmission/origins_test.go
+++ b/wharf/wharfadmission/origins_test.go
@@ -28,27 +28,27 @@
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
 			is := is.New(t)
-			var o Origins
+			var o ClientRouteDetector
 			now, fresh := time.Unix(1000, 0), false
 			for range 3 {
 				for _, caller := range tc.callers {
-					fresh = o.Fresh(now, "route", caller, tc.services)
+					fresh = o.IsClientRequest(now, "route", caller, tc.services)
 					now = now.Add(100 * time.Millisecond)
 				}
 			}
 			is.Equal(fresh, tc.fresh)
 			now = now.Add(time.Minute)
-			is.True(!o.Fresh(now, "route", tc.callers[0], tc.services)) // old callers don't count
-			o.Forget(now.Add(time.Minute))
+			is.True(!o.IsClientRequest(now, "route", tc.callers[0], tc.services)) // old callers don't count
+			o.Prune(now.Add(time.Minute))
 			is.Equal(len(o.routes), 0)
 		})
 	}
 }
 
 func BenchmarkOrigins(b *testing.B) {
-	var o Origins
+	var o ClientRouteDetector
 	now := time.Unix(1000, 0)
 	for i := range b.N {
-		o.Fresh(now, fmt.Sprint("route-", i%8), "a", 4)
+		o.IsClientRequest(now, fmt.Sprint("route-", i%8), "a", 4)
 	}
 }
--- a/wharf/wharfadmission/window.go
+++ b/wharf/wharfadmission/window.go
@@ -5,17 +5,17 @@
 const (
 	// standingDelay is the least wait in a window that means a standing queue.
 	standingDelay = 20 * time.Millisecond
-	// judgeWindow is the least time between two decisions on queue and level;
+	// minEvaluationWindow is the least time between two decisions on queue and level;
 	// it grows with the time that a request holds its slot, up to a second.
-	judgeWindow    = 200 * time.Millisecond
-	maxJudgeWindow = time.Second
+	minEvaluationWindow = 200 * time.Millisecond
+	maxEvaluationWindow = time.Second
 	// maxIdleWindows bounds the windows that are made up for after a quiet time.
 	maxIdleWindows = 16
 )
 
-// turn ends the windows in which the queue is judged. Windows without any
+// advanceWindows ends the windows in which the queue is judged. Windows without any
 // event were calm.
-func (g *Gate) turn(now time.Time) {
+func (g *Gate) advanceWindows(now time.Time) {
 	if g.windowStart.IsZero() {
 		g.windowStart = now
 	}
@@ -23,15 +23,15 @@
 	if windows == 0 {
 		return
 	}
-	g.judge()
+	g.evaluateWindow()
 	for range min(windows-1, maxIdleWindows) {
-		g.judge()
+		g.evaluateWindow()
 	}
 	g.windowStart = now
 }
 
-// judge decides whether the queue stands and moves the level.
-func (g *Gate) judge() {
+// evaluateWindow decides whether the queue stands and moves the level.
+func (g *Gate) evaluateWindow() {
 	if !g.waitSeen && g.queue.len() > 0 {
 		// Nothing left the queue in the window: everything waited longer.
 		g.shortestWait = g.window()
@@ -48,7 +48,7 @@
 // window returns the time between two decisions on queue and level.
 func (g *Gate) window() time.Duration {
 	hold := time.Duration(g.hold * float64(time.Second))
-	return min(max(hold, judgeWindow), maxJudgeWindow)
+	return min(max(hold, minEvaluationWindow), maxEvaluationWindow)
 }
 
 // capacity returns how many requests the target can finish in a window. It
--- a/wharf/wharfbudget/budget_test.go
+++ b/wharf/wharfbudget/budget_test.go
@@ -116,7 +116,7 @@
 	var l Ledger
 	_, ok := l.Take(7)
 	is.True(!ok) // an unknown grant creates no attempts
-	l.Open(7, Entry{Grant: NewGrant(3)})
+	l.Open(7, ServedCall{Grant: NewGrant(3)})
 	down, ok := l.Take(7)
 	is.True(ok)
 	is.Equal(down, 2)
@@ -131,22 +131,22 @@
 	is := is.New(t)
 	var l Ledger
 	at := func(ms int) time.Time { return time.Unix(0, 0).Add(time.Duration(ms) * time.Millisecond) }
-	l.Open(1, Entry{})
+	l.Open(1, ServedCall{})
 	l.CallBegins(at(10), 1)
 	l.CallBegins(at(20), 1) // two calls side by side count once
-	l.CallEnds(at(40), 1, Met{Closed: 3})
-	l.CallEnds(at(50), 1, Met{Refused: true, Closed: 1})
+	l.CallEnds(at(40), 1, DownstreamResult{LevelReduction: 3})
+	l.CallEnds(at(50), 1, DownstreamResult{Refused: true, LevelReduction: 1})
 	l.CallBegins(at(70), 1)
-	l.CallEnds(at(75), 1, Met{Retried: true})
+	l.CallEnds(at(75), 1, DownstreamResult{Retried: true})
 	e := l.Close(1)
-	is.Equal(e.Below, 45*time.Millisecond)
-	is.True(e.RefusedBelow && e.Retried)
-	is.Equal(e.Closed, uint16(3))
+	is.Equal(e.DownstreamTime, 45*time.Millisecond)
+	is.True(e.DownstreamRefused && e.Retried)
+	is.Equal(e.LevelReduction, uint16(3))
 }
 
 func TestRetryRatio(t *testing.T) {
 	is := is.New(t)
-	var b RetryRatio
+	var b RetryBudget
 	allowed := 0
 	for range 100 {
 		if b.Allow() {
@@ -163,10 +163,10 @@
 
 func BenchmarkLedgerTake(b *testing.B) {
 	var l Ledger
-	l.Open(1, Entry{Grant: NewGrant(64)})
+	l.Open(1, ServedCall{Grant: NewGrant(64)})
 	b.ReportAllocs()
 	for b.Loop() {
 		down, _ := l.Take(1)
-		l.Undo(1, down)
+		l.Refund(1, down)
 	}
 }
--- a/wharf/wharfbudget/grant.go
+++ b/wharf/wharfbudget/grant.go
@@ -42,8 +42,8 @@
 	return g
 }
 
-// WithUndone takes back an attempt that never left this node.
-func (g Grant) WithUndone(handedDown int) Grant {
+// WithRefund takes back an attempt that never left this node.
+func (g Grant) WithRefund(handedDown int) Grant {
 	g.left += handedDown + 1
 	return g
 }
--- a/wharf/wharfbudget/ledger.go
+++ b/wharf/wharfbudget/ledger.go
@@ -10,8 +10,8 @@
 // GrantID names a grant in the ledger of the node that issued it.
 type GrantID uint64
 
-// Entry is what a node remembers of a call that its target is serving.
-type Entry struct {
+// ServedCall is what a node remembers of a call that its target is serving.
+type ServedCall struct {
 	Grant Grant
 	// Deadline ends the call and all that it calls.
 	Deadline time.Time
@@ -21,17 +21,17 @@
 	Depth   int
 	// Retried says that a call below failed after it was tried again.
 	Retried bool
-	// RefusedBelow says that a call below was refused or failed, so that a
+	// DownstreamRefused says that a call below was refused or failed, so that a
 	// refusal of this call says nothing of its own target.
-	RefusedBelow bool
-	// Below is the time in which at least one call below was under way, and
-	// belowCalls and belowSince describe the calls that are.
-	Below      time.Duration
-	belowCalls int
-	belowSince time.Time
-	// Closed is how far the lowest admission level that the calls below have
+	DownstreamRefused bool
+	// DownstreamTime is the time in which at least one call below was under way, and
+	// downstreamCalls and downstreamSince describe the calls that are.
+	DownstreamTime  time.Duration
+	downstreamCalls int
+	downstreamSince time.Time
+	// LevelReduction is how far the lowest admission level that the calls below have
 	// met is from an open one.
-	Closed uint16
+	LevelReduction uint16
 }
 
 // Ledger keeps the grants of the calls that a node's target is serving. A
@@ -43,7 +43,7 @@
 
 type ledgerShard struct {
 	mu      sync.Mutex
-	entries map[GrantID]Entry
+	entries map[GrantID]ServedCall
 }
 
 func (l *Ledger) shard(id GrantID) *ledgerShard {
@@ -51,18 +51,18 @@
 }
 
 // Open stores the entry of a call that starts.
-func (l *Ledger) Open(id GrantID, e Entry) {
+func (l *Ledger) Open(id GrantID, e ServedCall) {
 	s := l.shard(id)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.entries == nil {
-		s.entries = make(map[GrantID]Entry)
+		s.entries = make(map[GrantID]ServedCall)
 	}
 	s.entries[id] = e
 }
 
 // Get returns the entry of a call that is being served.
-func (l *Ledger) Get(id GrantID) (Entry, bool) {
+func (l *Ledger) Get(id GrantID) (ServedCall, bool) {
 	s := l.shard(id)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -87,47 +87,47 @@
 // Return gives back what an attempt did not use. Nothing happens if the call
 // has already ended, because its grant was settled then.
 func (l *Ledger) Return(id GrantID, handedDown, returned int) {
-	l.update(id, func(e *Entry) { e.Grant = e.Grant.WithReturned(handedDown, returned) })
+	l.update(id, func(e *ServedCall) { e.Grant = e.Grant.WithReturned(handedDown, returned) })
 }
 
-// Undo takes back an attempt that was never sent.
-func (l *Ledger) Undo(id GrantID, handedDown int) {
-	l.update(id, func(e *Entry) { e.Grant = e.Grant.WithUndone(handedDown) })
+// Refund takes back an attempt that was never sent.
+func (l *Ledger) Refund(id GrantID, handedDown int) {
+	l.update(id, func(e *ServedCall) { e.Grant = e.Grant.WithRefund(handedDown) })
 }
 
-// Met is what a call below has met.
-type Met struct {
+// DownstreamResult is what a call below has met.
+type DownstreamResult struct {
 	Retried bool
 	Refused bool
-	// Closed is how far the admission level was from an open one.
-	Closed uint16
+	// LevelReduction is how far the admission level was from an open one.
+	LevelReduction uint16
 }
 
 // CallBegins records that a call below is under way.
 func (l *Ledger) CallBegins(now time.Time, id GrantID) {
-	l.update(id, func(e *Entry) {
-		if e.belowCalls == 0 {
-			e.belowSince = now
+	l.update(id, func(e *ServedCall) {
+		if e.downstreamCalls == 0 {
+			e.downstreamSince = now
 		}
-		e.belowCalls++
+		e.downstreamCalls++
 	})
 }
 
 // CallEnds records the end of a call below and what it has met.
-func (l *Ledger) CallEnds(now time.Time, id GrantID, m Met) {
-	l.update(id, func(e *Entry) {
-		e.belowCalls--
-		if e.belowCalls == 0 {
-			e.Below += now.Sub(e.belowSince)
+func (l *Ledger) CallEnds(now time.Time, id GrantID, m DownstreamResult) {
+	l.update(id, func(e *ServedCall) {
+		e.downstreamCalls--
+		if e.downstreamCalls == 0 {
+			e.DownstreamTime += now.Sub(e.downstreamSince)
 		}
 		e.Retried = e.Retried || m.Retried
-		e.RefusedBelow = e.RefusedBelow || m.Refused
-		e.Closed = max(e.Closed, m.Closed)
+		e.DownstreamRefused = e.DownstreamRefused || m.Refused
+		e.LevelReduction = max(e.LevelReduction, m.LevelReduction)
 	})
 }
 
 // update changes the entry of a call that hasn't ended.
-func (l *Ledger) update(id GrantID, change func(e *Entry)) {
+func (l *Ledger) update(id GrantID, change func(e *ServedCall)) {
 	s := l.shard(id)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -140,7 +140,7 @@
 }
 
 // Close ends a call and returns its last entry.
-func (l *Ledger) Close(id GrantID) Entry {
+func (l *Ledger) Close(id GrantID) ServedCall {
 	s := l.shard(id)
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/wharf/wharfbudget/repeats.go
+++ b/wharf/wharfbudget/repeats.go
@@ -23,24 +23,24 @@
 	repeats  int
 }
 
-// Repeats keeps one node's repeats for one service within its part of a limit.
-// It isn't safe for concurrent use; its owner holds a lock. The zero Repeats has
+// RepeatCounter keeps one node's repeats for one service within its part of a limit.
+// It isn't safe for concurrent use; its owner holds a lock. The zero RepeatCounter has
 // counted nothing.
-type Repeats struct {
+type RepeatCounter struct {
 	// spans holds one part more than a window, because the oldest one reaches
 	// into it.
 	spans [repeatSpans + 1]span
 }
 
 // Request counts a request for the service.
-func (r *Repeats) Request(now time.Time, l RepeatLimit) {
+func (r *RepeatCounter) Request(now time.Time, l RepeatLimit) {
 	r.at(now, l).requests++
 }
 
 // Allow counts a repeat, or reports false if it would pass the limit. Each node
 // has its own share of the requests and an equal part of the slack, so that the
 // sum over any number of nodes keeps the limit.
-func (r *Repeats) Allow(now time.Time, l RepeatLimit, nodes int) bool {
+func (r *RepeatCounter) Allow(now time.Time, l RepeatLimit, nodes int) bool {
 	present := r.at(now, l)
 	requests, repeats := 0, 0
 	for i := range r.spans {
@@ -58,7 +58,7 @@
 }
 
 // at returns the span of a time.
-func (r *Repeats) at(now time.Time, l RepeatLimit) *span {
+func (r *RepeatCounter) at(now time.Time, l RepeatLimit) *span {
 	number := now.UnixNano() / max(int64(l.Window/repeatSpans), 1)
 	s := &r.spans[number%int64(len(r.spans))]
 	if s.number != number {
--- a/wharf/wharfbudget/repeats_test.go
+++ b/wharf/wharfbudget/repeats_test.go
@@ -13,7 +13,7 @@
 func TestRepeatsKeepLimitOverNodes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := RepeatLimit{Ratio: 0.2, Slack: rapid.IntRange(0, 60).Draw(t, "slack"), Window: 10 * time.Second}
-		nodes := make([]Repeats, rapid.IntRange(1, 40).Draw(t, "nodes"))
+		nodes := make([]RepeatCounter, rapid.IntRange(1, 40).Draw(t, "nodes"))
 		start := time.Unix(1_000_000, 0)
 		var requests, repeats []time.Time
 		now := start
--- a/wharf/wharfbudget/retry.go
+++ b/wharf/wharfbudget/retry.go
@@ -13,12 +13,12 @@
 	Idempotent bool
 	// Retried says that a hop below has already tried again.
 	Retried bool
-	// BodyGone says that the body was streamed and can't be sent again.
-	BodyGone bool
+	// BodyConsumed says that the body was streamed and can't be sent again.
+	BodyConsumed bool
 	// Suspected says that the request was in flight in a crash.
 	Suspected bool
-	// ServiceRefuses says that no other target would take the request.
-	ServiceRefuses bool
+	// NoAlternative says that no other target would take the request.
+	NoAlternative bool
 }
 
 // finalReasons lists refusals that hold wherever the request is sent.
@@ -36,7 +36,7 @@
 // MayRetry decides whether the hop right above a failure may try again,
 // attempts, deadline and retry ratio permitting.
 func MayRetry(f Failure) bool {
-	if f.Outcome.Kind == wharfoutcome.Completed || f.Retried || f.BodyGone || f.Suspected || f.ServiceRefuses {
+	if f.Outcome.Kind == wharfoutcome.Completed || f.Retried || f.BodyConsumed || f.Suspected || f.NoAlternative {
 		return false
 	}
 	for _, r := range finalReasons {
--- a/wharf/wharfcli/bounded.go
+++ b/wharf/wharfcli/bounded.go
@@ -24,9 +24,9 @@
 // Formatter writes entries in some form.
 type Formatter func(w io.Writer) log.Handler
 
-// Bounded is a handler of logs that never blocks and writes a bounded number of
+// RateLimitedHandler is a handler of logs that never blocks and writes a bounded number of
 // lines a second. What it drops is counted and said in one line.
-type Bounded struct {
+type RateLimitedHandler struct {
 	format log.Handler
 	line   bytes.Buffer
 	queue  chan []byte
@@ -39,15 +39,15 @@
 	total   uint64
 }
 
-// NewBounded returns a handler that formats entries. Run writes them.
-func NewBounded(format Formatter) *Bounded {
-	b := &Bounded{queue: make(chan []byte, queuedLines)}
+// NewRateLimitedHandler returns a handler that formats entries. Run writes them.
+func NewRateLimitedHandler(format Formatter) *RateLimitedHandler {
+	b := &RateLimitedHandler{queue: make(chan []byte, queuedLines)}
 	b.format = format(&b.line)
 	return b
 }
 
 // HandleLog takes an entry if the budget of this second allows.
-func (b *Bounded) HandleLog(e *log.Entry) error {
+func (b *RateLimitedHandler) HandleLog(e *log.Entry) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if second := e.Timestamp.Unix(); second != b.second {
@@ -61,7 +61,7 @@
 	return b.write(e)
 }
 
-func (b *Bounded) allows(level log.Level) bool {
+func (b *RateLimitedHandler) allows(level log.Level) bool {
 	if level >= log.WarnLevel {
 		b.warn++
 		return b.warn <= warnLines
@@ -70,13 +70,13 @@
 	return b.info <= infoLines
 }
 
-func (b *Bounded) drop() {
+func (b *RateLimitedHandler) drop() {
 	b.dropped++
 	b.total++
 }
 
 // report says how many lines the seconds before have lost.
-func (b *Bounded) report(e *log.Entry) {
+func (b *RateLimitedHandler) report(e *log.Entry) {
 	if b.dropped == 0 {
 		return
 	}
@@ -89,7 +89,7 @@
 }
 
 // write formats an entry and queues it; the caller holds the lock.
-func (b *Bounded) write(e *log.Entry) error {
+func (b *RateLimitedHandler) write(e *log.Entry) error {
 	b.line.Reset()
 	if err := b.format.HandleLog(e); err != nil {
 		return err
@@ -103,7 +103,7 @@
 }
 
 // Dropped returns how many lines were dropped so far.
-func (b *Bounded) Dropped() uint64 {
+func (b *RateLimitedHandler) Dropped() uint64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.total
@@ -113,7 +113,7 @@
 const flushTime = 100 * time.Millisecond
 
 // Run writes lines until the context ends, and then what still waits.
-func (b *Bounded) Run(ctx context.Context, w io.Writer) {
+func (b *RateLimitedHandler) Run(ctx context.Context, w io.Writer) {
 	for {
 		select {
 		case line := <-b.queue:
@@ -126,7 +126,7 @@
 	}
 }
 
-func (b *Bounded) flush(w io.Writer) {
+func (b *RateLimitedHandler) flush(w io.Writer) {
 	for end := time.Now().Add(flushTime); time.Now().Before(end); {
 		select {
 		case line := <-b.queue:
--- a/wharf/wharfcli/bounded_test.go
+++ b/wharf/wharfcli/bounded_test.go
@@ -19,7 +19,7 @@
 // warnings keep their part, and the loss is said.
 func TestFloodIsBounded(t *testing.T) {
 	is := is.New(t)
-	b := NewBounded(newJSON)
+	b := NewRateLimitedHandler(newJSON)
 	logger := &log.Logger{Handler: b, Level: log.InfoLevel}
 	at := time.Unix(1000, 0)
 	flood := func(level log.Level, n int) {
@@ -44,7 +44,7 @@
 // TestWriterThatBlocks keeps the callers going when the output stands still.
 func TestWriterThatBlocks(t *testing.T) {
 	is := is.New(t)
-	b := NewBounded(newJSON)
+	b := NewRateLimitedHandler(newJSON)
 	logger := &log.Logger{Handler: b, Level: log.InfoLevel}
 	for second := range 100 {
 		for range warnLines {
--- a/wharf/wharfcli/checks.go
+++ b/wharf/wharfcli/checks.go
@@ -10,14 +10,14 @@
 var domainName = regexp.MustCompile(`^[a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?$`)
 
 // Address checks that a value is an IP number and a port.
-func (f *Faults) Address(flag, value string) {
+func (f *Issues) Address(flag, value string) {
 	if _, err := netip.ParseAddrPort(value); err != nil {
 		f.Add(flag, "%q is not of the form IP:port", value)
 	}
 }
 
 // URL checks that a value is an absolute HTTP URL.
-func (f *Faults) URL(flag, value string) {
+func (f *Issues) URL(flag, value string) {
 	u, err := url.Parse(value)
 	if err != nil || u.Scheme != "http" && u.Scheme != "https" || u.Host == "" {
 		f.Add(flag, "%q is not a URL such as http://127.0.0.1:7400", value)
@@ -25,14 +25,14 @@
 }
 
 // Name checks that a value is a short kebab-case name.
-func (f *Faults) Name(flag, value string) {
+func (f *Issues) Name(flag, value string) {
 	if !domainName.MatchString(value) {
 		f.Add(flag, "%q is not a name of lower-case letters, digits and hyphens", value)
 	}
 }
 
 // AtLeast checks the least value of a time span.
-func (f *Faults) AtLeast(flag string, value, least time.Duration) {
+func (f *Issues) AtLeast(flag string, value, least time.Duration) {
 	if value < least {
 		f.Add(flag, "%v is shorter than %v", value, least)
 	}
--- a/wharf/wharfcli/cli.go
+++ b/wharf/wharfcli/cli.go
@@ -36,9 +36,9 @@
 	Bind    []any
 }
 
-// Checked is a command line that can report faults of its values.
-type Checked interface {
-	Check() Faults
+// Checker is a command line that can report faults of its values.
+type Checker interface {
+	Check() Issues
 }
 
 // exited carries the exit code of --help and --version out of the parser.
@@ -69,7 +69,7 @@
 		_, _ = fmt.Fprintf(p.Stderr, "%s: %v\n", p.Name, err)
 		return nil, ExitUsage, true
 	}
-	if checked, ok := into.(Checked); ok {
+	if checked, ok := into.(Checker); ok {
 		if faults := checked.Check(); len(faults) > 0 {
 			_, _ = fmt.Fprintf(p.Stderr, "%s: %d faulty settings\n%v\n", p.Name, len(faults), faults)
 			return nil, ExitUsage, true
@@ -85,12 +85,12 @@
 }
 
 // Logger returns a logger with the settings, and what writes its lines.
-func (l Logs) Logger() (*log.Logger, *Bounded) {
+func (l Logs) Logger() (*log.Logger, *RateLimitedHandler) {
 	format := func(w io.Writer) log.Handler { return text.New(w) }
 	if l.LogFormat == "json" {
 		format = func(w io.Writer) log.Handler { return json.New(w) }
 	}
-	lines := NewBounded(format)
+	lines := NewRateLimitedHandler(format)
 	logger := &log.Logger{Level: log.InfoLevel, Handler: lines}
 	if level, err := log.ParseLevel(l.LogLevel); err == nil {
 		logger.Level = level
@@ -100,7 +100,7 @@
 
 // WriteLines writes the lines of a log until the returned function is called,
 // which waits until the last one is written.
-func WriteLines(lines *Bounded, w io.Writer) (stop func()) {
+func WriteLines(lines *RateLimitedHandler, w io.Writer) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var group sync.WaitGroup
 	group.Go(func() { lines.Run(ctx, w) })
@@ -110,16 +110,16 @@
 	}
 }
 
-// Faults lists what is wrong with settings.
-type Faults []string
+// Issues lists what is wrong with settings.
+type Issues []string
 
 // Error returns the faults, one a line.
-func (f Faults) Error() string {
+func (f Issues) Error() string {
 	return "  " + strings.Join(f, "\n  ")
 }
 
 // Add notes a fault of a flag.
-func (f *Faults) Add(flag, format string, args ...any) {
+func (f *Issues) Add(flag, format string, args ...any) {
 	*f = append(*f, "--"+flag+": "+fmt.Sprintf(format, args...))
 }
 
--- a/wharf/wharfconfig/change.go
+++ b/wharf/wharfconfig/change.go
@@ -38,8 +38,8 @@
 	Message string `json:"message,omitempty"`
 }
 
-// Verdict is the decision on one change. It is the same on every node.
-type Verdict struct {
+// Decision is the decision on one change. It is the same on every node.
+type Decision struct {
 	ChangeID  string      `json:"change-id"`
 	Author    string      `json:"author"`
 	Note      string      `json:"note,omitempty"`
--- a/wharf/wharfconfig/config_test.go
+++ b/wharf/wharfconfig/config_test.go
@@ -57,7 +57,7 @@
 attempts: 32
 `
 
-func parseValid(t *testing.T, text string) []Located {
+func parseValid(t *testing.T, text string) []SourceDocument {
 	t.Helper()
 	docs, faults := Parse("sample.yaml", []byte(text))
 	if len(faults) == 0 {
@@ -76,8 +76,8 @@
 		doc := d.Document
 		change.Edits = append(change.Edits, Edit{Key: doc.Key(), Document: &doc})
 	}
-	s := (*Snapshot)(nil).WithChanges([]Positioned{{Change: change, Offset: 1}})
-	is.New(t).True(s.Verdicts()[0].Accepted)
+	s := (*Snapshot)(nil).WithChanges([]LoggedChange{{Change: change, Offset: 1}})
+	is.New(t).True(s.Decisions()[0].Accepted)
 	return s
 }
 
@@ -143,23 +143,23 @@
 }
 
 func TestFold(t *testing.T) {
-	first := Positioned{Change{ID: "a", Author: "ann", Edits: []Edit{edit("x", 0, 1)}}, 1, time.Time{}}
+	first := LoggedChange{Change{ID: "a", Author: "ann", Edits: []Edit{edit("x", 0, 1)}}, 1, time.Time{}}
 	tests := []struct {
 		name     string
-		change   Positioned
+		change   LoggedChange
 		accepted bool
 		rank     int
 	}{
-		{"against the version in force", Positioned{Change{ID: "b", Edits: []Edit{edit("x", 1, 2)}}, 2, time.Time{}}, true, 2},
-		{"against an older version", Positioned{Change{ID: "b", Edits: []Edit{edit("x", 0, 2)}}, 2, time.Time{}}, false, 1},
-		{"one of two edits conflicts", Positioned{Change{ID: "b", Edits: []Edit{edit("y", 0, 3), edit("x", 0, 2)}}, 2, time.Time{}}, false, 1},
-		{"document out of range", Positioned{Change{ID: "b", Edits: []Edit{edit("x", 1, 99)}}, 2, time.Time{}}, false, 1},
+		{"against the version in force", LoggedChange{Change{ID: "b", Edits: []Edit{edit("x", 1, 2)}}, 2, time.Time{}}, true, 2},
+		{"against an older version", LoggedChange{Change{ID: "b", Edits: []Edit{edit("x", 0, 2)}}, 2, time.Time{}}, false, 1},
+		{"one of two edits conflicts", LoggedChange{Change{ID: "b", Edits: []Edit{edit("y", 0, 3), edit("x", 0, 2)}}, 2, time.Time{}}, false, 1},
+		{"document out of range", LoggedChange{Change{ID: "b", Edits: []Edit{edit("x", 1, 99)}}, 2, time.Time{}}, false, 1},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
 			is := is.New(t)
-			s := (*Snapshot)(nil).WithChanges([]Positioned{first, tc.change})
-			v, ok := s.Verdict("b")
+			s := (*Snapshot)(nil).WithChanges([]LoggedChange{first, tc.change})
+			v, ok := s.Decision("b")
 			is.True(ok)
 			is.Equal(v.Accepted, tc.accepted)
 			is.Equal(s.Class("x").Rank, tc.rank)
@@ -174,12 +174,12 @@
 // order, and compares with the fold of the whole prefix.
 func TestFoldIsMonotonic(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var log []Positioned
+		var log []LoggedChange
 		n := rapid.IntRange(1, 20).Draw(t, "changes")
 		for i := range n {
 			id := fmt.Sprint(rapid.IntRange(0, n).Draw(t, "id"))
 			base := uint64(rapid.IntRange(0, i).Draw(t, "base"))
-			log = append(log, Positioned{Change{ID: id, Edits: []Edit{edit("x", base, i%MaxRank)}}, uint64(i + 1), time.Time{}})
+			log = append(log, LoggedChange{Change{ID: id, Edits: []Edit{edit("x", base, i%MaxRank)}}, uint64(i + 1), time.Time{}})
 		}
 		var s *Snapshot
 		for s.Offset() < uint64(n) {
@@ -194,7 +194,7 @@
 				t.Fatalf("offset went from %d to %d", before, s.Offset())
 			}
 			whole := (*Snapshot)(nil).WithChanges(log[:s.Offset()])
-			if s.Class("x") != whole.Class("x") || len(s.Verdicts()) != len(whole.Verdicts()) {
+			if s.Class("x") != whole.Class("x") || len(s.Decisions()) != len(whole.Decisions()) {
 				t.Fatalf("at %d: %v and %v", s.Offset(), s.Class("x"), whole.Class("x"))
 			}
 		}
--- a/wharf/wharfconfig/fault.go
+++ b/wharf/wharfconfig/fault.go
@@ -22,8 +22,8 @@
 	CodeReference     Code = "reference"
 )
 
-// Fault is one thing that is wrong with a document, and how to mend it.
-type Fault struct {
+// Issue is one thing that is wrong with a document, and how to mend it.
+type Issue struct {
 	Code    Code
 	File    string
 	Line    int
@@ -32,7 +32,7 @@
 }
 
 // Error returns the fault on one line.
-func (f Fault) Error() string {
+func (f Issue) Error() string {
 	text := fmt.Sprintf("%s:%d: %s [%s]", f.File, f.Line, f.Message, f.Code)
 	if f.Remedy != "" {
 		text += "; " + f.Remedy
@@ -40,11 +40,11 @@
 	return text
 }
 
-// Faults is the list of all faults that one reading found.
-type Faults []Fault
+// Issues is the list of all faults that one reading found.
+type Issues []Issue
 
 // Error returns the faults, one a line.
-func (f Faults) Error() string {
+func (f Issues) Error() string {
 	lines := make([]string, len(f))
 	for i, fault := range f {
 		lines[i] = fault.Error()
@@ -53,7 +53,7 @@
 }
 
 // Err returns the list as an error, or nil if it is empty.
-func (f Faults) Err() error {
+func (f Issues) Err() error {
 	if len(f) == 0 {
 		return nil
 	}
--- a/wharf/wharfconfig/parse.go
+++ b/wharf/wharfconfig/parse.go
@@ -13,8 +13,8 @@
 	"gopkg.in/yaml.v3"
 )
 
-// Located is a document with the place that it was read from.
-type Located struct {
+// SourceDocument is a document with the place that it was read from.
+type SourceDocument struct {
 	Document
 	File string
 	// lines holds the line of each field; the empty name is the document's.
@@ -27,7 +27,7 @@
 }
 
 // Line returns the line of a field, or that of the document.
-func (l *Located) Line(field string) int {
+func (l *SourceDocument) Line(field string) int {
 	first := 1
 	for _, fl := range l.lines {
 		if fl.field == field {
@@ -42,9 +42,9 @@
 
 // Parse reads all documents of a YAML file and reports every fault of their
 // form at once. Faults of meaning are found by Validate.
-func Parse(file string, data []byte) ([]Located, Faults) {
-	var docs []Located
-	var faults Faults
+func Parse(file string, data []byte) ([]SourceDocument, Issues) {
+	var docs []SourceDocument
+	var faults Issues
 	decoder := yaml.NewDecoder(bytes.NewReader(data))
 	for {
 		var node yaml.Node
@@ -63,16 +63,16 @@
 	}
 }
 
-func parseDocument(file string, node *yaml.Node) (Located, Faults) {
+func parseDocument(file string, node *yaml.Node) (SourceDocument, Issues) {
 	if len(node.Content) != 1 || node.Content[0].Kind != yaml.MappingNode {
-		return Located{}, Faults{{CodeSyntax, file, node.Line, "document is not a mapping", "write fields such as \"kind: service\""}}
+		return SourceDocument{}, Issues{{CodeSyntax, file, node.Line, "document is not a mapping", "write fields such as \"kind: service\""}}
 	}
 	mapping := node.Content[0]
-	doc := Located{File: file, lines: []fieldLine{{"", mapping.Line}}}
+	doc := SourceDocument{File: file, lines: []fieldLine{{"", mapping.Line}}}
 	for i := 0; i+1 < len(mapping.Content); i += 2 {
 		doc.lines = append(doc.lines, fieldLine{mapping.Content[i].Value, mapping.Content[i].Line})
 	}
-	var faults Faults
+	var faults Issues
 	if err := mapping.Decode(&doc.Document); err != nil {
 		faults = append(faults, yamlFaults(file, err)...)
 	}
@@ -80,22 +80,22 @@
 }
 
 // checkFields refuses fields that the kind doesn't have and finds missing ones.
-func checkFields(doc *Located) Faults {
+func checkFields(doc *SourceDocument) Issues {
 	fields, ok := fieldsOf(doc.Kind)
 	if !ok {
-		return Faults{{
+		return Issues{{
 			CodeUnknownKind, doc.File, doc.Line("kind"),
 			fmt.Sprintf("kind %q is unknown", doc.Kind),
 			"use one of " + strings.Join(kindNames(), ", "),
 		}}
 	}
-	var faults Faults
+	var faults Issues
 	allowed := slices.Concat([]string{"kind", "name"}, fields.required, fields.optional)
 	for _, fl := range doc.lines[1:] {
 		if slices.Contains(allowed, fl.field) {
 			continue
 		}
-		faults = append(faults, Fault{
+		faults = append(faults, Issue{
 			CodeUnknownField, doc.File, fl.line,
 			fmt.Sprintf("kind %s has no field %q", doc.Kind, fl.field),
 			"its fields are " + strings.Join(allowed, ", "),
@@ -105,7 +105,7 @@
 		if doc.has(name) {
 			continue
 		}
-		faults = append(faults, Fault{
+		faults = append(faults, Issue{
 			CodeMissingField, doc.File, doc.Line(""),
 			fmt.Sprintf("kind %s needs the field %q", doc.Kind, name),
 			"add it",
@@ -114,22 +114,22 @@
 	return faults
 }
 
-func (l *Located) has(field string) bool {
+func (l *SourceDocument) has(field string) bool {
 	return slices.ContainsFunc(l.lines, func(fl fieldLine) bool { return fl.field == field })
 }
 
 var yamlLine = regexp.MustCompile(`line (\d+): (.*)`)
 
 // yamlFaults turns the errors of the YAML library into faults with lines.
-func yamlFaults(file string, err error) Faults {
+func yamlFaults(file string, err error) Issues {
 	messages := []string{err.Error()}
 	var typeError *yaml.TypeError
 	if errors.As(err, &typeError) {
 		messages = typeError.Errors
 	}
-	faults := make(Faults, 0, len(messages))
+	faults := make(Issues, 0, len(messages))
 	for _, message := range messages {
-		fault := Fault{Code: CodeSyntax, File: file, Line: 1, Message: message, Remedy: "correct the YAML"}
+		fault := Issue{Code: CodeSyntax, File: file, Line: 1, Message: message, Remedy: "correct the YAML"}
 		if m := yamlLine.FindStringSubmatch(message); m != nil {
 			fault.Line, _ = strconv.Atoi(m[1])
 			fault.Message = m[2]
--- a/wharf/wharfconfig/snapshot.go
+++ b/wharf/wharfconfig/snapshot.go
@@ -9,9 +9,9 @@
 	"ragwortwharf.dev/wharf/wharfselector"
 )
 
-// KeptVerdicts is how many verdicts a snapshot remembers. A repeated append
+// MaxDecisions is how many verdicts a snapshot remembers. A repeated append
 // is recognised for as long, and history reaches back as far.
-const KeptVerdicts = 1024
+const MaxDecisions = 1024
 
 // Object is a document with its version.
 type Object struct {
@@ -36,7 +36,7 @@
 type Snapshot struct {
 	offset   uint64
 	objects  map[ObjectKey]Object
-	verdicts []Verdict
+	verdicts []Decision
 	known    map[string]struct{}
 	compiled *compiled
 }
@@ -70,26 +70,26 @@
 	return objects
 }
 
-// Verdicts returns the latest decisions, oldest first.
-func (s *Snapshot) Verdicts() []Verdict {
+// Decisions returns the latest decisions, oldest first.
+func (s *Snapshot) Decisions() []Decision {
 	if s == nil {
 		return nil
 	}
 	return s.verdicts
 }
 
-// Verdict returns the decision on a change.
-func (s *Snapshot) Verdict(changeID string) (Verdict, bool) {
-	for _, v := range s.Verdicts() {
+// Decision returns the decision on a change.
+func (s *Snapshot) Decision(changeID string) (Decision, bool) {
+	for _, v := range s.Decisions() {
 		if v.ChangeID == changeID {
 			return v, true
 		}
 	}
-	return Verdict{}, false
+	return Decision{}, false
 }
 
-// Positioned is a change with its place in the log.
-type Positioned struct {
+// LoggedChange is a change with its place in the log.
+type LoggedChange struct {
 	Change Change
 	Offset uint64
 	Time   time.Time
@@ -97,7 +97,7 @@
 
 // WithChanges folds changes in the order of the log. Changes at or below the
 // offset of the snapshot are skipped, so it never goes back.
-func (s *Snapshot) WithChanges(changes []Positioned) *Snapshot {
+func (s *Snapshot) WithChanges(changes []LoggedChange) *Snapshot {
 	next := s.clone()
 	touched := false
 	for _, p := range changes {
@@ -135,8 +135,8 @@
 }
 
 // decide compares each edit with the version in force.
-func (s *Snapshot) decide(p Positioned) Verdict {
-	v := Verdict{
+func (s *Snapshot) decide(p LoggedChange) Decision {
+	v := Decision{
 		ChangeID: p.Change.ID,
 		Author:   p.Change.Author,
 		Note:     p.Change.Note,
@@ -152,7 +152,7 @@
 			})
 			continue
 		}
-		if message := faultOfEdit(e); message != "" {
+		if message := editIssue(e); message != "" {
 			v.Conflicts = append(v.Conflicts, Conflict{Key: e.Key, Base: e.Base, Current: current.Version, Message: message})
 		}
 	}
@@ -160,9 +160,9 @@
 	return v
 }
 
-// faultOfEdit refuses a document that wharfctl would not have published. Only
+// editIssue refuses a document that wharfctl would not have published. Only
 // faults of the document itself count: references may change in between.
-func faultOfEdit(e Edit) string {
+func editIssue(e Edit) string {
 	if e.Deletes() {
 		return ""
 	}
@@ -173,7 +173,7 @@
 		return "kind is unknown"
 	}
 	v := validator{}
-	v.checkDocument(&Located{Document: *e.Document})
+	v.checkDocument(&SourceDocument{Document: *e.Document})
 	for _, f := range v.faults {
 		if f.Code != CodeReference {
 			return f.Message
@@ -182,7 +182,7 @@
 	return ""
 }
 
-func (s *Snapshot) apply(p Positioned) {
+func (s *Snapshot) apply(p LoggedChange) {
 	for _, e := range p.Change.Edits {
 		if e.Deletes() {
 			delete(s.objects, e.Key)
@@ -192,10 +192,10 @@
 	}
 }
 
-func (s *Snapshot) remember(v Verdict) {
+func (s *Snapshot) remember(v Decision) {
 	s.verdicts = append(s.verdicts, v)
 	s.known[v.ChangeID] = struct{}{}
-	for len(s.verdicts) > KeptVerdicts {
+	for len(s.verdicts) > MaxDecisions {
 		delete(s.known, s.verdicts[0].ChangeID)
 		s.verdicts = s.verdicts[1:]
 	}
@@ -203,14 +203,14 @@
 
 // Saved is the form of a snapshot that is stored and sent.
 type Saved struct {
-	Offset   uint64    `json:"offset"`
-	Objects  []Object  `json:"objects"`
-	Verdicts []Verdict `json:"verdicts"`
+	Offset    uint64     `json:"offset"`
+	Objects   []Object   `json:"objects"`
+	Decisions []Decision `json:"verdicts"`
 }
 
 // Save returns the stored form.
 func (s *Snapshot) Save() Saved {
-	return Saved{Offset: s.Offset(), Objects: s.Objects(), Verdicts: s.Verdicts()}
+	return Saved{Offset: s.Offset(), Objects: s.Objects(), Decisions: s.Decisions()}
 }
 
 // Load rebuilds a snapshot from its stored form.
@@ -220,7 +220,7 @@
 	for _, o := range saved.Objects {
 		s.objects[o.Document.Key()] = o.parsed()
 	}
-	for _, v := range saved.Verdicts {
+	for _, v := range saved.Decisions {
 		s.remember(v)
 	}
 	s.compiled = compile(s.objects)
--- a/wharf/wharfconfig/validate.go
+++ b/wharf/wharfconfig/validate.go
@@ -31,7 +31,7 @@
 
 // Validate checks the meaning of documents against each other and against the
 // snapshot that they are meant for. It reports every fault at once.
-func Validate(docs []Located, current *Snapshot) Faults {
+func Validate(docs []SourceDocument, current *Snapshot) Issues {
 	v := validator{docs: docs, current: current}
 	v.checkDuplicates()
 	for i := range docs {
@@ -43,13 +43,13 @@
 }
 
 type validator struct {
-	docs    []Located
+	docs    []SourceDocument
 	current *Snapshot
-	faults  Faults
+	faults  Issues
 }
 
-func (v *validator) report(doc *Located, field string, code Code, remedy, format string, args ...any) {
-	v.faults = append(v.faults, Fault{
+func (v *validator) report(doc *SourceDocument, field string, code Code, remedy, format string, args ...any) {
+	v.faults = append(v.faults, Issue{
 		Code:    code,
 		File:    doc.File,
 		Line:    doc.Line(field),
@@ -71,7 +71,7 @@
 	}
 }
 
-func (v *validator) checkDocument(doc *Located) {
+func (v *validator) checkDocument(doc *SourceDocument) {
 	if !objectName.MatchString(doc.Name) || len(doc.Name) > maxNameLength {
 		v.report(doc, "name", CodeRange, "use lower-case letters, digits, dots, colons, slashes and hyphens",
 			"name %q is not valid", doc.Name)
@@ -93,19 +93,19 @@
 	}
 }
 
-func (v *validator) checkLabels(doc *Located) {
+func (v *validator) checkLabels(doc *SourceDocument) {
 	if err := wharfselector.CheckLabels(doc.Labels); err != nil {
 		v.report(doc, "labels", CodeLabel, "use label keys and values of letters, digits, dots and hyphens", "%v", err)
 	}
 }
 
-func (v *validator) checkRange(doc *Located, field string, value, low, high float64) {
+func (v *validator) checkRange(doc *SourceDocument, field string, value, low, high float64) {
 	if value < low || value > high {
 		v.report(doc, field, CodeRange, fmt.Sprintf("use %v to %v", low, high), "%s %v is out of range", field, value)
 	}
 }
 
-func (v *validator) checkDuration(doc *Located, field string, d *Duration, low, high time.Duration) {
+func (v *validator) checkDuration(doc *SourceDocument, field string, d *Duration, low, high time.Duration) {
 	if d == nil {
 		return
 	}
@@ -114,7 +114,7 @@
 	}
 }
 
-func (v *validator) checkRequest(doc *Located) {
+func (v *validator) checkRequest(doc *SourceDocument) {
 	if !strings.HasPrefix(doc.Path, "/") {
 		v.report(doc, "path", CodeRange, `begin it with "/"`, "path %q is not absolute", doc.Path)
 	}
@@ -131,14 +131,14 @@
 	}
 }
 
-func (v *validator) checkSelector(doc *Located) {
+func (v *validator) checkSelector(doc *SourceDocument) {
 	if _, err := wharfselector.Parse(doc.Selector); err != nil {
 		v.report(doc, "selector", CodeSelector, "write it like a=b,c in (d,e),!f", "%v", err)
 	}
 }
 
 // checkPolicy checks the fields that rules and defaults have in common.
-func (v *validator) checkPolicy(doc *Located) {
+func (v *validator) checkPolicy(doc *SourceDocument) {
 	v.checkRange(doc, "precedence", float64(doc.Precedence), -maxPrecedence, maxPrecedence)
 	v.checkDuration(doc, "timeout", doc.Timeout, time.Millisecond, maxTimeout)
 	if doc.Attempts != nil {
@@ -153,13 +153,13 @@
 	}
 }
 
-func (v *validator) checkTarget(doc *Located) {
+func (v *validator) checkTarget(doc *SourceDocument) {
 	if _, err := netip.ParseAddrPort(doc.Target); err != nil {
 		v.report(doc, "target", CodeRange, "use IP:port", "target %q is no address", doc.Target)
 	}
 }
 
-func (v *validator) checkDefaults(doc *Located) {
+func (v *validator) checkDefaults(doc *SourceDocument) {
 	if doc.Name != DefaultsName {
 		v.report(doc, "name", CodeRange, "name it "+DefaultsName, "only one document of this kind is allowed")
 	}
@@ -174,7 +174,7 @@
 }
 
 func (v *validator) exists(key ObjectKey) bool {
-	if slices.ContainsFunc(v.docs, func(d Located) bool { return d.Key() == key }) {
+	if slices.ContainsFunc(v.docs, func(d SourceDocument) bool { return d.Key() == key }) {
 		return true
 	}
 	_, ok := v.current.Object(key)
@@ -201,7 +201,7 @@
 	}
 	for _, o := range v.current.Objects() {
 		d := o.Document
-		replaced := slices.ContainsFunc(v.docs, func(l Located) bool { return l.Key() == d.Key() })
+		replaced := slices.ContainsFunc(v.docs, func(l SourceDocument) bool { return l.Key() == d.Key() })
 		if d.Kind == KindClass && d.Rank == rank && d.Name != except && !replaced {
 			return d.Name, true
 		}
--- a/wharf/wharfhome/doc.go
+++ b/wharf/wharfhome/doc.go
@@ -1,9 +1,9 @@
 // Package wharfhome decides which node may run a request that must take
 // effect at most once, and remembers what became of it.
 //
-// A Table is the fold of the ownership records in the platform's log. It names
+// An OwnershipTable is the fold of the ownership records in the platform's log. It names
 // the home of each key by rendezvous hashing over the nodes of a service, and
-// knows who was the home of the key before. Keys are the records of one home:
+// knows who was the home of the key before. A KeyStore holds the records of one home:
 // each key goes from absent over waiting and running to done or lost, or is
 // closed, after which it never runs there.
 //
--- a/wharf/wharfhome/interleaving_test.go
+++ b/wharf/wharfhome/interleaving_test.go
@@ -13,7 +13,7 @@
 // world is two nodes, a log of ownership records, and one key that a caller
 // resends. Each event moves one part; the check counts the effects.
 type world struct {
-	log   []Positioned
+	log   []LoggedRecord
 	nodes [2]*worldNode
 	key   KeyID
 	now   time.Time
@@ -29,7 +29,7 @@
 
 // worldNode is one VM: its present life, and how far it has read the log.
 type worldNode struct {
-	home Home
+	home Deduplicator
 	read int
 	// fresh is when it had read the whole log.
 	fresh time.Time
@@ -59,7 +59,7 @@
 	{"a freezes", func(w *world) { w.nodes[0].reachable = false }},
 	{"a wakes", func(w *world) { w.wake(0) }},
 	{"a is evicted", func(w *world) {
-		w.append(Record{Kind: Evict, Node: "a", Incarnation: w.nodes[0].home.Self.Incarnation})
+		w.append(OwnershipRecord{Kind: Evict, Node: "a", Incarnation: w.nodes[0].home.Self.Incarnation})
 	}},
 	{"a hands over", func(w *world) { w.handOver(0) }},
 	{"b hands over", func(w *world) { w.handOver(1) }},
@@ -72,7 +72,7 @@
 	w := &world{now: epoch, naive: naive}
 	w.key = KeyID{service, "caller", keyOf("b", "a", "b")}
 	for i, name := range nodeNames {
-		w.nodes[i] = &worldNode{home: Home{Self: Owner{Node: name, Incarnation: 1}, Keys: &Keys{}}, reachable: true}
+		w.nodes[i] = &worldNode{home: Deduplicator{Self: Owner{Node: name, Incarnation: 1}, Keys: &KeyStore{}}, reachable: true}
 	}
 	w.append(announced("a", 1))
 	w.read(0)
@@ -92,12 +92,12 @@
 	}
 }
 
-func (w *world) append(r Record) {
-	w.log = append(w.log, Positioned{r, uint64(len(w.log) + 1), w.now})
+func (w *world) append(r OwnershipRecord) {
+	w.log = append(w.log, LoggedRecord{r, uint64(len(w.log) + 1), w.now})
 }
 
-func (w *world) view(n *worldNode) View {
-	return View{Table: (*Table)(nil).WithRecords(w.log[:n.read]), Fresh: n.fresh}
+func (w *world) view(n *worldNode) OwnershipView {
+	return OwnershipView{Table: (*OwnershipTable)(nil).WithRecords(w.log[:n.read]), ConfirmedAt: n.fresh}
 }
 
 func (w *world) read(i int) {
@@ -122,12 +122,12 @@
 	if !n.reachable || n.behind || w.now.Sub(w.firstSent) > horizon.Resend {
 		return
 	}
-	plan := n.home.Receive(w.now, w.view(n), w.key, 1, horizon)
-	if plan.Step != Take || w.naive {
+	plan := n.home.Decide(w.now, w.view(n), w.key, 1, horizon)
+	if plan.Action != Proceed || w.naive {
 		return
 	}
-	for _, earlier := range plan.Consult {
-		if w.consult(n, earlier).Step != Take {
+	for _, earlier := range plan.PreviousOwners {
+		if w.consult(n, earlier).Action != Proceed {
 			return
 		}
 	}
@@ -137,10 +137,10 @@
 func (w *world) consult(n *worldNode, earlier Owner) Decision {
 	for _, other := range w.nodes {
 		if other.home.Self.Same(earlier) && other.reachable {
-			return n.home.Keys.Learn(w.now, w.key, other.home.Keys.Close(w.now, w.key, uint64(max(n.read, other.read))))
+			return n.home.Keys.MergePrevious(w.now, w.key, other.home.Keys.Close(w.now, w.key, uint64(max(n.read, other.read))))
 		}
 	}
-	return n.home.Unreachable(w.key)
+	return n.home.PreviousUnreachable(w.key)
 }
 
 func (w *world) dispatch(i int) {
@@ -148,15 +148,15 @@
 	if !n.reachable || n.behind {
 		return
 	}
-	if n.home.MayDispatch(w.now, w.view(n), w.key, horizon) {
+	if n.home.TryDispatch(w.now, w.view(n), w.key, horizon) {
 		w.effects++
-		n.home.Keys.Finish(w.now, w.key, &Answer{Status: 200, Whole: true})
+		n.home.Keys.Finish(w.now, w.key, &Response{Status: 200, Complete: true})
 	}
 }
 
 func (w *world) restart(i int) {
 	n := w.nodes[i]
-	n.home = Home{Self: Owner{Node: nodeNames[i], Incarnation: n.home.Self.Incarnation + 1}, Keys: &Keys{}}
+	n.home = Deduplicator{Self: Owner{Node: nodeNames[i], Incarnation: n.home.Self.Incarnation + 1}, Keys: &KeyStore{}}
 	n.reachable, n.behind = true, false
 	n.read = 0
 	w.append(announced(nodeNames[i], n.home.Self.Incarnation))
@@ -181,7 +181,7 @@
 	if !n.reachable || n.behind {
 		return
 	}
-	w.append(Record{Kind: Release, Node: n.home.Self.Node, Incarnation: n.home.Self.Incarnation})
+	w.append(OwnershipRecord{Kind: Release, Node: n.home.Self.Node, Incarnation: n.home.Self.Incarnation})
 	for n.read < len(w.log) {
 		w.read(i)
 	}
@@ -200,7 +200,7 @@
 			other.home.Keys.Import(x)
 		}
 	}
-	w.append(Record{Kind: HandedOver, Node: n.home.Self.Node, Incarnation: n.home.Self.Incarnation})
+	w.append(OwnershipRecord{Kind: HandedOver, Node: n.home.Self.Node, Incarnation: n.home.Self.Incarnation})
 	n.reachable = false
 }
 
--- a/wharf/wharfhome/keys.go
+++ b/wharf/wharfhome/keys.go
@@ -43,26 +43,26 @@
 	return xxhash.Sum64String(id.Service + "\x00" + id.Caller + "\x00" + id.Key)
 }
 
-// Answer is what is kept of the answer of a target.
-type Answer struct {
+// Response is what is kept of the answer of a target.
+type Response struct {
 	Status  int
-	Headers []AnswerHeader
+	Headers []ResponseHeader
 	Body    []byte
-	// Whole is false if the body was too large to keep.
-	Whole bool
+	// Complete is false if the body was too large to keep.
+	Complete bool
 }
 
-// AnswerHeader is one header of an answer.
-type AnswerHeader struct {
+// ResponseHeader is one header of an answer.
+type ResponseHeader struct {
 	Name   string
 	Values []string
 }
 
-// Entry is what a home remembers of a key.
-type Entry struct {
+// KeyEntry is what a home remembers of a key.
+type KeyEntry struct {
 	State       State
 	Fingerprint uint64
-	Answer      *Answer
+	Response    *Response
 	// Changed is when the entry came into its state.
 	Changed time.Time
 	// ClosedAt is the offset of the log at which a closed key was closed. A
@@ -71,24 +71,24 @@
 	ClosedAt uint64
 }
 
-// Keys are the records of one home. They are never forgotten before the
+// KeyStore are the records of one home. They are never forgotten before the
 // horizon of resends has passed; when they are full, new keys are refused.
-// The zero Keys is empty.
-type Keys struct {
+// The zero KeyStore is empty.
+type KeyStore struct {
 	shards [keyShards]keyShard
 }
 
-func (k *Keys) shard(id KeyID) *keyShard {
+func (k *KeyStore) shard(id KeyID) *keyShard {
 	return &k.shards[id.hash()%keyShards]
 }
 
-// Step is what the home does with a request for a key.
-type Step uint8
+// Action is what the home does with a request for a key.
+type Action uint8
 
 // Steps of a home.
 const (
-	// Take means that the key is new and now waiting.
-	Take Step = iota
+	// Proceed means that the key is new and now waiting.
+	Proceed Action = iota
 	// Join means that the request is under way; the caller awaits its end.
 	Join
 	// Replay means that the kept answer is the answer.
@@ -99,13 +99,13 @@
 
 // Decision is the decision on a request for a key.
 type Decision struct {
-	Step    Step
-	Answer  *Answer
-	Outcome wharfoutcome.Outcome
+	Action   Action
+	Response *Response
+	Outcome  wharfoutcome.Outcome
 }
 
 // Begin decides on a request for a key that the home has had since an offset.
-func (k *Keys) Begin(now time.Time, id KeyID, fingerprint, since uint64) Decision {
+func (k *KeyStore) Begin(now time.Time, id KeyID, fingerprint, since uint64) Decision {
 	s := k.shard(id)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -114,8 +114,8 @@
 		if !known && s.full(id.Caller) {
 			return refusal(wharfoutcome.Refuse(wharfoutcome.ReasonKeyTableFull))
 		}
-		s.put(id, Entry{State: Waiting, Fingerprint: fingerprint, Changed: now})
-		return Decision{Step: Take}
+		s.put(id, KeyEntry{State: Waiting, Fingerprint: fingerprint, Changed: now})
+		return Decision{Action: Proceed}
 	}
 	if e.State != Closed && e.Fingerprint != fingerprint {
 		return refusal(wharfoutcome.Refuse(wharfoutcome.ReasonKeyMismatch))
@@ -123,9 +123,9 @@
 	return e.decide()
 }
 
-// Recall decides on a request for a key that was dispatched here, and reports
+// Lookup decides on a request for a key that was dispatched here, and reports
 // whether one was. It takes no key.
-func (k *Keys) Recall(id KeyID, fingerprint uint64) (Decision, bool) {
+func (k *KeyStore) Lookup(id KeyID, fingerprint uint64) (Decision, bool) {
 	s := k.shard(id)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -139,12 +139,12 @@
 	return e.decide(), true
 }
 
-func (e Entry) decide() Decision {
+func (e KeyEntry) decide() Decision {
 	switch {
 	case e.State == Waiting || e.State == Running:
-		return Decision{Step: Join}
-	case e.State == Done && e.Answer != nil && e.Answer.Whole:
-		return Decision{Step: Replay, Answer: e.Answer}
+		return Decision{Action: Join}
+	case e.State == Done && e.Response != nil && e.Response.Complete:
+		return Decision{Action: Replay, Response: e.Response}
 	case e.State == Done:
 		o := wharfoutcome.Done()
 		o.Reason = wharfoutcome.ReasonAnswerNotKept
@@ -157,30 +157,30 @@
 }
 
 func refusal(o wharfoutcome.Outcome) Decision {
-	return Decision{Step: Refuse, Outcome: o}
+	return Decision{Action: Refuse, Outcome: o}
 }
 
 // Dispatch moves a waiting key to running. It is false if the key was closed
 // meanwhile, and then the request must not reach the target.
-func (k *Keys) Dispatch(now time.Time, id KeyID) bool {
-	return k.advance(now, id, Waiting, Entry{State: Running})
+func (k *KeyStore) Dispatch(now time.Time, id KeyID) bool {
+	return k.advance(now, id, Waiting, KeyEntry{State: Running})
 }
 
 // Finish records the answer of the target.
-func (k *Keys) Finish(now time.Time, id KeyID, answer *Answer) {
-	if answer != nil && len(answer.Body) > MaxKeptBody {
-		answer = &Answer{Status: answer.Status}
+func (k *KeyStore) Finish(now time.Time, id KeyID, answer *Response) {
+	if answer != nil && len(answer.Body) > MaxStoredBody {
+		answer = &Response{Status: answer.Status}
 	}
-	k.advance(now, id, Running, Entry{State: Done, Answer: answer})
+	k.advance(now, id, Running, KeyEntry{State: Done, Response: answer})
 }
 
-// Lose records that a dispatched request ended without an answer.
-func (k *Keys) Lose(now time.Time, id KeyID) {
-	k.advance(now, id, Running, Entry{State: Lost})
+// MarkLost records that a dispatched request ended without an answer.
+func (k *KeyStore) MarkLost(now time.Time, id KeyID) {
+	k.advance(now, id, Running, KeyEntry{State: Lost})
 }
 
 // advance changes the state of an entry if it is the expected one.
-func (k *Keys) advance(now time.Time, id KeyID, from State, to Entry) bool {
+func (k *KeyStore) advance(now time.Time, id KeyID, from State, to KeyEntry) bool {
 	s := k.shard(id)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -189,8 +189,8 @@
 		return false
 	}
 	to.Fingerprint, to.Changed = e.Fingerprint, now
-	if to.Answer != nil && s.bytes+len(to.Answer.Body) > maxBytesPerShard {
-		to.Answer = &Answer{Status: to.Answer.Status}
+	if to.Response != nil && s.bytes+len(to.Response.Body) > maxBytesPerShard {
+		to.Response = &Response{Status: to.Response.Status}
 	}
 	s.put(id, to)
 	return true
@@ -198,7 +198,7 @@
 
 // Abandon forgets a key that was refused before its dispatch, so that a resend
 // may run. A key that was closed meanwhile stays closed.
-func (k *Keys) Abandon(id KeyID) {
+func (k *KeyStore) Abandon(id KeyID) {
 	s := k.shard(id)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -207,9 +207,9 @@
 	}
 }
 
-// Disclaim forgets a dispatched key of which the target itself said that it
+// Rollback forgets a dispatched key of which the target itself said that it
 // did not run it.
-func (k *Keys) Disclaim(id KeyID) {
+func (k *KeyStore) Rollback(id KeyID) {
 	s := k.shard(id)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -221,7 +221,7 @@
 // Close answers a question about a key, and makes sure that a key that hasn't
 // been dispatched never will be, unless the home gains it anew after the
 // offset. The entry returned is Absent if the key has not run here.
-func (k *Keys) Close(now time.Time, id KeyID, offset uint64) Entry {
+func (k *KeyStore) Close(now time.Time, id KeyID, offset uint64) KeyEntry {
 	s := k.shard(id)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -229,15 +229,15 @@
 	if known && e.State != Waiting && e.State != Closed {
 		return e
 	}
-	s.put(id, Entry{State: Closed, Changed: now, ClosedAt: max(offset, e.ClosedAt)})
-	return Entry{State: Absent}
+	s.put(id, KeyEntry{State: Closed, Changed: now, ClosedAt: max(offset, e.ClosedAt)})
+	return KeyEntry{State: Absent}
 }
 
-// Learn takes the entry of an earlier home for a key that waits here. It
+// MergePrevious takes the entry of an earlier home for a key that waits here. It
 // returns what to do with the request now.
-func (k *Keys) Learn(now time.Time, id KeyID, earlier Entry) Decision {
+func (k *KeyStore) MergePrevious(now time.Time, id KeyID, earlier KeyEntry) Decision {
 	if earlier.State == Absent || earlier.State == Closed {
-		return Decision{Step: Take}
+		return Decision{Action: Proceed}
 	}
 	s := k.shard(id)
 	s.mu.Lock()
@@ -257,21 +257,21 @@
 	return earlier.decide()
 }
 
-// Exported is an entry with its key, as it is handed over.
-type Exported struct {
+// ExportedKey is an entry with its key, as it is handed over.
+type ExportedKey struct {
 	ID    KeyID
-	Entry Entry
+	Entry KeyEntry
 }
 
 // Export returns the entries that the next home has to know.
-func (k *Keys) Export() []Exported {
-	var out []Exported
+func (k *KeyStore) Export() []ExportedKey {
+	var out []ExportedKey
 	for i := range k.shards {
 		s := &k.shards[i]
 		s.mu.Lock()
 		for id, e := range s.entries {
 			if e.State == Done || e.State == Lost || e.State == Running {
-				out = append(out, Exported{id, e})
+				out = append(out, ExportedKey{id, e})
 			}
 		}
 		s.mu.Unlock()
@@ -281,7 +281,7 @@
 
 // Import takes an entry that an earlier home hands over. What has run here is
 // known better; what was closed here has run there.
-func (k *Keys) Import(x Exported) {
+func (k *KeyStore) Import(x ExportedKey) {
 	s := k.shard(x.ID)
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/wharf/wharfhome/keys_test.go
+++ b/wharf/wharfhome/keys_test.go
@@ -14,63 +14,63 @@
 
 func TestKeyStates(t *testing.T) {
 	id := KeyID{"bookings", "caller", "k"}
-	answer := &Answer{Status: 201, Body: []byte("slot 7"), Whole: true}
+	answer := &Response{Status: 201, Body: []byte("slot 7"), Complete: true}
 	tests := []struct {
 		name    string
-		prepare func(k *Keys)
+		prepare func(k *KeyStore)
 		body    uint64
-		step    Step
+		step    Action
 		outcome wharfoutcome.Outcome
 	}{
-		{"new key", func(*Keys) {}, 1, Take, wharfoutcome.Outcome{}},
-		{"resend while it waits", func(k *Keys) { k.Begin(epoch, id, 1, 0) }, 1, Join, wharfoutcome.Outcome{}},
-		{"resend while it runs", func(k *Keys) {
+		{"new key", func(*KeyStore) {}, 1, Proceed, wharfoutcome.Outcome{}},
+		{"resend while it waits", func(k *KeyStore) { k.Begin(epoch, id, 1, 0) }, 1, Join, wharfoutcome.Outcome{}},
+		{"resend while it runs", func(k *KeyStore) {
 			k.Begin(epoch, id, 1, 0)
 			k.Dispatch(epoch, id)
 		}, 1, Join, wharfoutcome.Outcome{}},
-		{"resend after the answer", func(k *Keys) {
+		{"resend after the answer", func(k *KeyStore) {
 			k.Begin(epoch, id, 1, 0)
 			k.Dispatch(epoch, id)
 			k.Finish(epoch, id, answer)
 		}, 1, Replay, wharfoutcome.Outcome{}},
-		{"answer too large to keep", func(k *Keys) {
+		{"answer too large to keep", func(k *KeyStore) {
 			k.Begin(epoch, id, 1, 0)
 			k.Dispatch(epoch, id)
-			k.Finish(epoch, id, &Answer{Body: make([]byte, MaxKeptBody+1), Whole: true})
+			k.Finish(epoch, id, &Response{Body: make([]byte, MaxStoredBody+1), Complete: true})
 		}, 1, Refuse, wharfoutcome.Outcome{Kind: wharfoutcome.Completed, Reason: wharfoutcome.ReasonAnswerNotKept}},
-		{"other body", func(k *Keys) { k.Begin(epoch, id, 1, 0) }, 2, Refuse, wharfoutcome.Refuse(wharfoutcome.ReasonKeyMismatch)},
-		{"answer lost", func(k *Keys) {
+		{"other body", func(k *KeyStore) { k.Begin(epoch, id, 1, 0) }, 2, Refuse, wharfoutcome.Refuse(wharfoutcome.ReasonKeyMismatch)},
+		{"answer lost", func(k *KeyStore) {
 			k.Begin(epoch, id, 1, 0)
 			k.Dispatch(epoch, id)
-			k.Lose(epoch, id)
+			k.MarkLost(epoch, id)
 		}, 1, Refuse, wharfoutcome.Uncertain(wharfoutcome.ReasonAnswerLost)},
-		{"closed before it came", func(k *Keys) { k.Close(epoch, id, 5) }, 1, Refuse, wharfoutcome.Refuse(wharfoutcome.ReasonKeyClosed)},
-		{"gained anew after it was closed", func(k *Keys) {
+		{"closed before it came", func(k *KeyStore) { k.Close(epoch, id, 5) }, 1, Refuse, wharfoutcome.Refuse(wharfoutcome.ReasonKeyClosed)},
+		{"gained anew after it was closed", func(k *KeyStore) {
 			k.Close(epoch, id, 5)
 			is.New(t).Equal(k.Begin(epoch, id, 1, 5).Outcome.Reason, wharfoutcome.ReasonKeyClosed)
 			k.Begin(epoch, id, 1, 6)
 		}, 1, Join, wharfoutcome.Outcome{}},
-		{"refused before dispatch", func(k *Keys) {
+		{"refused before dispatch", func(k *KeyStore) {
 			k.Begin(epoch, id, 1, 0)
 			k.Abandon(id)
-		}, 1, Take, wharfoutcome.Outcome{}},
-		{"expired", func(k *Keys) {
+		}, 1, Proceed, wharfoutcome.Outcome{}},
+		{"expired", func(k *KeyStore) {
 			k.Begin(epoch, id, 1, 0)
 			k.Dispatch(epoch, id)
 			k.Finish(epoch, id, answer)
 			k.Expire(epoch.Add(time.Hour), time.Minute)
-		}, 1, Take, wharfoutcome.Outcome{}},
+		}, 1, Proceed, wharfoutcome.Outcome{}},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
 			is := is.New(t)
-			var k Keys
+			var k KeyStore
 			tc.prepare(&k)
 			d := k.Begin(epoch, id, tc.body, 0)
-			is.Equal(d.Step, tc.step)
+			is.Equal(d.Action, tc.step)
 			is.Equal(d.Outcome, tc.outcome)
-			if d.Step == Replay {
-				is.Equal(d.Answer, answer)
+			if d.Action == Replay {
+				is.Equal(d.Response, answer)
 			}
 		})
 	}
@@ -83,36 +83,36 @@
 	self := Owner{Node: "n", Incarnation: 1}
 	nodes := []struct {
 		name    string
-		receive func(h Home, body uint64) Plan
+		receive func(h Deduplicator, body uint64) Plan
 		reason  wharfoutcome.Reason
 	}{
-		{"view too old", func(h Home, body uint64) Plan {
-			return h.Receive(epoch, View{}, id, body, Horizon{Staleness: time.Second})
+		{"view too old", func(h Deduplicator, body uint64) Plan {
+			return h.Decide(epoch, OwnershipView{}, id, body, DedupWindow{Staleness: time.Second})
 		}, wharfoutcome.ReasonHomeCatchingUp},
-		{"home moved", func(h Home, body uint64) Plan {
-			return h.Receive(epoch, View{Table: &Table{}, Fresh: epoch}, id, body, Horizon{Staleness: time.Second})
+		{"home moved", func(h Deduplicator, body uint64) Plan {
+			return h.Decide(epoch, OwnershipView{Table: &OwnershipTable{}, ConfirmedAt: epoch}, id, body, DedupWindow{Staleness: time.Second})
 		}, wharfoutcome.ReasonHomeMoved},
-		{"sender knows more", func(h Home, body uint64) Plan { return h.CatchUp(id, body) }, wharfoutcome.ReasonHomeCatchingUp},
+		{"sender knows more", func(h Deduplicator, body uint64) Plan { return h.DecideStale(id, body) }, wharfoutcome.ReasonHomeCatchingUp},
 	}
 	steps := []struct {
 		name string
-		run  func(k *Keys)
-		step Step
+		run  func(k *KeyStore)
+		step Action
 		want wharfoutcome.Kind
 	}{
-		{"waiting", func(k *Keys) { k.Begin(epoch, id, 1, 0) }, Refuse, wharfoutcome.NotRun},
-		{"running", func(k *Keys) { k.Dispatch(epoch, id) }, Join, 0},
-		{"answered", func(k *Keys) { k.Finish(epoch, id, &Answer{Whole: true}) }, Replay, 0},
+		{"waiting", func(k *KeyStore) { k.Begin(epoch, id, 1, 0) }, Refuse, wharfoutcome.NotRun},
+		{"running", func(k *KeyStore) { k.Dispatch(epoch, id) }, Join, 0},
+		{"answered", func(k *KeyStore) { k.Finish(epoch, id, &Response{Complete: true}) }, Replay, 0},
 	}
 	for _, n := range nodes {
 		t.Run(n.name, func(t *testing.T) {
 			is := is.New(t)
-			h := Home{Self: self, Keys: &Keys{}}
+			h := Deduplicator{Self: self, Keys: &KeyStore{}}
 			is.Equal(n.receive(h, 1).Outcome, wharfoutcome.Refuse(n.reason))
 			for _, s := range steps {
 				s.run(h.Keys)
 				got := n.receive(h, 1)
-				is.Equal(got.Step, s.step)
+				is.Equal(got.Action, s.step)
 				is.Equal(got.Outcome.Kind, s.want)
 			}
 			is.Equal(n.receive(h, 2).Outcome.Reason, wharfoutcome.ReasonKeyMismatch)
@@ -122,7 +122,7 @@
 
 func TestCloseStopsWaitingKey(t *testing.T) {
 	is := is.New(t)
-	var k Keys
+	var k KeyStore
 	id := KeyID{"s", "c", "k"}
 	k.Begin(epoch, id, 1, 0)
 	is.Equal(k.Close(epoch, id, 5).State, Absent)
@@ -131,46 +131,46 @@
 
 func TestCloseLeavesRunningKey(t *testing.T) {
 	is := is.New(t)
-	var k Keys
+	var k KeyStore
 	id := KeyID{"s", "c", "k"}
 	k.Begin(epoch, id, 1, 0)
 	is.True(k.Dispatch(epoch, id))
 	is.Equal(k.Close(epoch, id, 5).State, Running)
-	k.Finish(epoch, id, &Answer{Status: 200, Whole: true})
+	k.Finish(epoch, id, &Response{Status: 200, Complete: true})
 	is.Equal(k.Close(epoch, id, 5).State, Done)
 }
 
 func TestOneCallerCannotFillTheTable(t *testing.T) {
 	is := is.New(t)
-	var k Keys
+	var k KeyStore
 	refused := 0
 	for i := range 2 * keyShards * maxKeysPerShard {
-		if k.Begin(epoch, KeyID{"s", "greedy", fmt.Sprint(i)}, 1, 0).Step == Refuse {
+		if k.Begin(epoch, KeyID{"s", "greedy", fmt.Sprint(i)}, 1, 0).Action == Refuse {
 			refused++
 		}
 	}
 	is.True(refused > 0)
 	first := k.Begin(epoch, KeyID{"s", "greedy", "0"}, 1, 0)
-	is.Equal(first.Step, Join) // nothing was forgotten early
-	is.Equal(k.Begin(epoch, KeyID{"s", "other", "0"}, 1, 0).Step, Take)
+	is.Equal(first.Action, Join) // nothing was forgotten early
+	is.Equal(k.Begin(epoch, KeyID{"s", "other", "0"}, 1, 0).Action, Proceed)
 	is.True(k.Bytes() <= keyShards*(maxBytesPerShard+maxKeysPerShard*entryBytes))
 }
 
 func TestMintedKeysAreKeptForAShortTime(t *testing.T) {
 	is := is.New(t)
-	var k Keys
+	var k KeyStore
 	for _, id := range []KeyID{{Key: "minted"}, {"s", "c", "chosen"}} {
 		k.Begin(epoch, id, 1, 0)
 		k.Dispatch(epoch, id)
-		k.Finish(epoch, id, &Answer{Status: 200, Whole: true})
+		k.Finish(epoch, id, &Response{Status: 200, Complete: true})
 	}
-	is.Equal(k.Expire(epoch.Add(mintedLife+1), time.Hour), 1)
-	is.Equal(k.Begin(epoch, KeyID{"s", "c", "chosen"}, 1, 0).Step, Replay)
+	is.Equal(k.Expire(epoch.Add(generatedKeyTTL+1), time.Hour), 1)
+	is.Equal(k.Begin(epoch, KeyID{"s", "c", "chosen"}, 1, 0).Action, Replay)
 }
 
 func TestImportKeepsNewer(t *testing.T) {
 	is := is.New(t)
-	var from, to Keys
+	var from, to KeyStore
 	id := KeyID{"s", "c", "k"}
 	from.Begin(epoch, id, 1, 0)
 	from.Dispatch(epoch, id)
@@ -182,8 +182,8 @@
 
 func BenchmarkKeys(b *testing.B) {
 	b.ReportAllocs()
-	var k Keys
-	answer := &Answer{Status: 200, Whole: true}
+	var k KeyStore
+	answer := &Response{Status: 200, Complete: true}
 	for i := 0; b.Loop(); i++ {
 		id := KeyID{"s", "c", fmt.Sprint(i)}
 		k.Begin(epoch, id, 1, 0)
--- a/wharf/wharfhome/memory.go
+++ b/wharf/wharfhome/memory.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// Limits of the memory of Keys.
+// Limits of the memory of a KeyStore.
 const (
-	// MaxKeptBody is the largest body that is kept, in bytes.
-	MaxKeptBody = 16 << 10
-	keyShards   = 32
+	// MaxStoredBody is the largest body that is kept, in bytes.
+	MaxStoredBody = 16 << 10
+	keyShards     = 32
 	// maxKeysPerShard and maxBytesPerShard bound one shard.
 	maxKeysPerShard  = 2048
 	maxBytesPerShard = 1 << 20
@@ -20,22 +20,22 @@
 // keyShard is a part of the keys under its own lock.
 type keyShard struct {
 	mu      sync.Mutex
-	entries map[KeyID]Entry
+	entries map[KeyID]KeyEntry
 	callers map[string]int
 	bytes   int
 }
 
-// mintedLife is how long a key that a node minted is kept. Nobody resends it;
+// generatedKeyTTL is how long a key that a node minted is kept. Nobody resends it;
 // its sender asks about it at most once, soon after the answer was lost.
-const mintedLife = 2 * time.Minute
+const generatedKeyTTL = 2 * time.Minute
 
-// minted reports whether the key was made by a node for one attempt.
-func (id KeyID) minted() bool {
+// generated reports whether the key was made by a node for one attempt.
+func (id KeyID) generated() bool {
 	return id.Service == ""
 }
 
 // Expire forgets keys whose last change is older than the horizon.
-func (k *Keys) Expire(now time.Time, horizon time.Duration) int {
+func (k *KeyStore) Expire(now time.Time, horizon time.Duration) int {
 	n := 0
 	for i := range k.shards {
 		s := &k.shards[i]
@@ -43,8 +43,8 @@
 		for id, e := range s.entries {
 			ended := e.State == Done || e.State == Lost || e.State == Closed
 			life := horizon
-			if id.minted() {
-				life = min(mintedLife, horizon)
+			if id.generated() {
+				life = min(generatedKeyTTL, horizon)
 			}
 			if ended && now.Sub(e.Changed) > life {
 				s.drop(id)
@@ -57,7 +57,7 @@
 }
 
 // Len returns the number of keys.
-func (k *Keys) Len() int {
+func (k *KeyStore) Len() int {
 	n := 0
 	for i := range k.shards {
 		s := &k.shards[i]
@@ -68,16 +68,16 @@
 	return n
 }
 
-func (s *keyShard) put(id KeyID, e Entry) {
+func (s *keyShard) put(id KeyID, e KeyEntry) {
 	if s.entries == nil {
-		s.entries = make(map[KeyID]Entry)
+		s.entries = make(map[KeyID]KeyEntry)
 		s.callers = make(map[string]int)
 	}
 	old, known := s.entries[id]
 	if !known {
 		s.callers[id.Caller]++
 	}
-	s.bytes += answerBytes(e) - answerBytes(old)
+	s.bytes += responseBytes(e) - responseBytes(old)
 	s.entries[id] = e
 }
 
@@ -86,7 +86,7 @@
 	if !known {
 		return
 	}
-	s.bytes -= answerBytes(e)
+	s.bytes -= responseBytes(e)
 	delete(s.entries, id)
 	s.callers[id.Caller]--
 	if s.callers[id.Caller] == 0 {
@@ -94,11 +94,11 @@
 	}
 }
 
-func answerBytes(e Entry) int {
-	if e.Answer == nil {
+func responseBytes(e KeyEntry) int {
+	if e.Response == nil {
 		return 0
 	}
-	return len(e.Answer.Body)
+	return len(e.Response.Body)
 }
 
 // full reports whether a caller may add no key: the shard is full, or it is
@@ -115,7 +115,7 @@
 }
 
 // Bytes returns an estimate of the memory in use, in bytes.
-func (k *Keys) Bytes() int {
+func (k *KeyStore) Bytes() int {
 	n := 0
 	for i := range k.shards {
 		s := &k.shards[i]
--- a/wharf/wharfhome/resolve.go
+++ b/wharf/wharfhome/resolve.go
@@ -7,8 +7,8 @@
 	"github.com/google/uuid"
 )
 
-// Horizon bounds the resends of callers and the delay of news.
-type Horizon struct {
+// DedupWindow bounds the resends of callers and the delay of news.
+type DedupWindow struct {
 	// Resend is how long a caller may resend a key.
 	Resend time.Duration
 	// Skew is how far the clocks of callers, nodes and log may differ.
@@ -19,16 +19,16 @@
 	Staleness time.Duration
 }
 
-// View is what a node knows of the ownership.
-type View struct {
-	Table *Table
-	// Fresh is the latest time for which the table is known to be complete.
-	Fresh time.Time
+// OwnershipView is what a node knows of the ownership.
+type OwnershipView struct {
+	Table *OwnershipTable
+	// ConfirmedAt is the latest time for which the table is known to be complete.
+	ConfirmedAt time.Time
 }
 
 // stale reports whether the view is too old to act on.
-func (v View) stale(now time.Time, horizon Horizon) bool {
-	return now.Sub(v.Fresh) > horizon.Staleness
+func (v OwnershipView) stale(now time.Time, horizon DedupWindow) bool {
+	return now.Sub(v.ConfirmedAt) > horizon.Staleness
 }
 
 // Resolution says what a home has to do before it may run a key for the
@@ -37,14 +37,14 @@
 	Owner Owner
 	// Since is the offset from which on the owner has had the key.
 	Since uint64
-	// Consult lists the earlier homes that have to close the key.
-	Consult []Owner
-	// Lost says that an earlier home is gone and took its records along.
-	Lost bool
+	// PreviousOwners lists the earlier homes that have to close the key.
+	PreviousOwners []Owner
+	// RecordsLost says that an earlier home is gone and took its records along.
+	RecordsLost bool
 }
 
 // Resolve finds the home of a key and the earlier homes that may know of it.
-func (t *Table) Resolve(now time.Time, service, key string, horizon Horizon) (Resolution, bool) {
+func (t *OwnershipTable) Resolve(now time.Time, service, key string, horizon DedupWindow) (Resolution, bool) {
 	if t == nil {
 		return Resolution{}, false
 	}
@@ -62,11 +62,11 @@
 		}
 		earlier, ok := rendezvous(h.epochs[i].Owners, key)
 		if ok && !earlier.Same(owner) {
-			t.addEarlier(&r, h, earlier, oldest)
+			t.addPreviousOwner(&r, h, earlier, oldest)
 		}
 	}
 	if h.truncated && h.epochs[0].Start.Add(horizon.Staleness).After(oldest) {
-		r.Lost = true
+		r.RecordsLost = true
 	}
 	return r, true
 }
@@ -86,28 +86,28 @@
 }
 
 // firstSendAfter returns a time before which the key was not sent.
-func firstSendAfter(now time.Time, key string, horizon Horizon) time.Time {
+func firstSendAfter(now time.Time, key string, horizon DedupWindow) time.Time {
 	oldest := now.Add(-horizon.Resend - horizon.Skew)
-	minted, ok := mintedAt(key)
+	minted, ok := generatedAt(key)
 	if ok && minted.Add(-horizon.Skew).After(oldest) {
 		return minted.Add(-horizon.Skew)
 	}
 	return oldest
 }
 
-func (t *Table) addEarlier(r *Resolution, h history, earlier Owner, oldest time.Time) {
-	if t.ended[lifeOf(earlier)].handedOver {
+func (t *OwnershipTable) addPreviousOwner(r *Resolution, h history, earlier Owner, oldest time.Time) {
+	if t.ended[incarnationKey(earlier)].handedOver {
 		return
 	}
-	if slices.ContainsFunc(r.Consult, earlier.Same) {
+	if slices.ContainsFunc(r.PreviousOwners, earlier.Same) {
 		return
 	}
 	ended, replaced := h.replacedAt(earlier)
 	switch {
 	case !replaced:
-		r.Consult = append(r.Consult, earlier)
+		r.PreviousOwners = append(r.PreviousOwners, earlier)
 	case ended.After(oldest):
-		r.Lost = true
+		r.RecordsLost = true
 	}
 }
 
@@ -124,8 +124,8 @@
 	return time.Time{}, false
 }
 
-// mintedAt returns the time that a key of the form UUIDv7 was made at.
-func mintedAt(key string) (time.Time, bool) {
+// generatedAt returns the time that a key of the form UUIDv7 was made at.
+func generatedAt(key string) (time.Time, bool) {
 	id, err := uuid.Parse(key)
 	if err != nil || id.Version() != 7 {
 		return time.Time{}, false
--- a/wharf/wharfhome/table.go
+++ b/wharf/wharfhome/table.go
@@ -9,29 +9,29 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// RecordKind names a kind of ownership record.
-type RecordKind string
+// OwnershipKind names a kind of ownership record.
+type OwnershipKind string
 
 // Kinds of ownership records.
 const (
 	// Announce makes a node an owner of keys of its services. It ends the
 	// ownership of earlier incarnations.
-	Announce RecordKind = "announce"
+	Announce OwnershipKind = "announce"
 	// Release ends the ownership of a node that still answers for its keys.
-	Release RecordKind = "release"
+	Release OwnershipKind = "release"
 	// HandedOver says that a released node gave all its records away.
-	HandedOver RecordKind = "handed-over"
+	HandedOver OwnershipKind = "handed-over"
 	// Evict ends the ownership of a node that is gone.
-	Evict RecordKind = "evict"
+	Evict OwnershipKind = "evict"
 )
 
-// Record is an ownership record as it stands in the log.
-type Record struct {
-	Kind        RecordKind `json:"kind"`
-	Node        string     `json:"node"`
-	Incarnation uint64     `json:"incarnation"`
-	Address     string     `json:"address,omitempty"`
-	Services    []string   `json:"services,omitempty"`
+// OwnershipRecord is an ownership record as it stands in the log.
+type OwnershipRecord struct {
+	Kind        OwnershipKind `json:"kind"`
+	Node        string        `json:"node"`
+	Incarnation uint64        `json:"incarnation"`
+	Address     string        `json:"address,omitempty"`
+	Services    []string      `json:"services,omitempty"`
 	// By names the operator of an eviction.
 	By string `json:"by,omitempty"`
 }
@@ -49,9 +49,9 @@
 }
 
 const (
-	// keptHistory is how long ended epochs are kept. It is longer than the
+	// historyRetention is how long ended epochs are kept. It is longer than the
 	// resend horizon and the staleness of homes can be together.
-	keptHistory = 25 * time.Hour
+	historyRetention = 25 * time.Hour
 	// maxEpochs bounds the epochs that are kept for a service.
 	maxEpochs = 256
 )
@@ -66,7 +66,7 @@
 // history lists the epochs of a service, the present one last.
 type history struct {
 	epochs []Epoch
-	// truncated says that epochs were dropped before keptHistory was over.
+	// truncated says that epochs were dropped before historyRetention was over.
 	truncated bool
 }
 
@@ -77,32 +77,32 @@
 	return h.epochs[len(h.epochs)-1]
 }
 
-// Table is the ownership at one offset of the log. It never changes;
-// WithRecord returns a new one. A nil Table is empty.
-type Table struct {
+// OwnershipTable is the ownership at one offset of the log. It never changes;
+// WithRecord returns a new one. A nil OwnershipTable is empty.
+type OwnershipTable struct {
 	services map[string]history
 	// ended holds the lives that were released or evicted. They never own keys
 	// again.
-	ended map[string]ending
+	ended map[string]endedIncarnation
 }
 
-// ending is the end of a life's ownership.
-type ending struct {
+// endedIncarnation is the end of a life's ownership.
+type endedIncarnation struct {
 	at time.Time
 	// handedOver says that its records were given away.
 	handedOver bool
 }
 
-// Positioned is an ownership record with its place in the log.
-type Positioned struct {
-	Record Record
+// LoggedRecord is an ownership record with its place in the log.
+type LoggedRecord struct {
+	Record OwnershipRecord
 	Offset uint64
 	Time   time.Time
 }
 
 // WithRecords folds ownership records in the order of the log.
-func (t *Table) WithRecords(records []Positioned) *Table {
-	next := &Table{services: map[string]history{}, ended: map[string]ending{}}
+func (t *OwnershipTable) WithRecords(records []LoggedRecord) *OwnershipTable {
+	next := &OwnershipTable{services: map[string]history{}, ended: map[string]endedIncarnation{}}
 	if t != nil {
 		next.services = maps.Clone(t.services)
 		next.ended = maps.Clone(t.ended)
@@ -113,7 +113,7 @@
 	return next
 }
 
-func (t *Table) fold(p Positioned) {
+func (t *OwnershipTable) fold(p LoggedRecord) {
 	r := p.Record
 	owner := Owner{Node: r.Node, Incarnation: r.Incarnation, Address: r.Address}
 	switch r.Kind {
@@ -121,7 +121,7 @@
 		t.announce(p, owner)
 	case Release, Evict:
 		for _, service := range t.OwnedBy(owner) {
-			t.move(service, p, func(owners []Owner) []Owner {
+			t.newEpoch(service, p, func(owners []Owner) []Owner {
 				return slices.DeleteFunc(owners, owner.Same)
 			})
 		}
@@ -132,26 +132,26 @@
 }
 
 // end records that a life owns keys no more.
-func (t *Table) end(p Positioned, owner Owner, handedOver bool) {
-	life := lifeOf(owner)
-	t.ended[life] = ending{p.Time, handedOver || t.ended[life].handedOver}
-	maps.DeleteFunc(t.ended, func(_ string, e ending) bool {
-		return p.Time.Sub(e.at) > keptHistory
+func (t *OwnershipTable) end(p LoggedRecord, owner Owner, handedOver bool) {
+	life := incarnationKey(owner)
+	t.ended[life] = endedIncarnation{p.Time, handedOver || t.ended[life].handedOver}
+	maps.DeleteFunc(t.ended, func(_ string, e endedIncarnation) bool {
+		return p.Time.Sub(e.at) > historyRetention
 	})
 }
 
 // HasEnded reports whether a life was released or evicted.
-func (t *Table) HasEnded(owner Owner) bool {
+func (t *OwnershipTable) HasEnded(owner Owner) bool {
 	if t == nil {
 		return false
 	}
-	_, ended := t.ended[lifeOf(owner)]
+	_, ended := t.ended[incarnationKey(owner)]
 	return ended
 }
 
 // announce sets the services of a life. A life that has ended and one that is
 // older than the present one are refused, so that neither can come back.
-func (t *Table) announce(p Positioned, owner Owner) {
+func (t *OwnershipTable) announce(p LoggedRecord, owner Owner) {
 	if t.HasEnded(owner) {
 		return
 	}
@@ -167,14 +167,14 @@
 	for service, h := range t.services {
 		listed := slices.ContainsFunc(h.present().Owners, func(o Owner) bool { return o.Node == owner.Node })
 		if listed && !slices.Contains(p.Record.Services, service) {
-			t.move(service, p, func(owners []Owner) []Owner { return without(owners, owner.Node) })
+			t.newEpoch(service, p, func(owners []Owner) []Owner { return without(owners, owner.Node) })
 		}
 	}
 	for _, service := range p.Record.Services {
 		if slices.Contains(t.services[service].present().Owners, owner) {
 			continue
 		}
-		t.move(service, p, func(owners []Owner) []Owner {
+		t.newEpoch(service, p, func(owners []Owner) []Owner {
 			return append(without(owners, owner.Node), owner)
 		})
 	}
@@ -185,7 +185,7 @@
 }
 
 // OwnedBy returns the services that a life owns keys of.
-func (t *Table) OwnedBy(owner Owner) []string {
+func (t *OwnershipTable) OwnedBy(owner Owner) []string {
 	if t == nil {
 		return nil
 	}
@@ -199,8 +199,8 @@
 	return out
 }
 
-// move begins a new epoch of a service, unless nothing changes.
-func (t *Table) move(service string, p Positioned, change func([]Owner) []Owner) {
+// newEpoch begins a new epoch of a service, unless nothing changes.
+func (t *OwnershipTable) newEpoch(service string, p LoggedRecord, change func([]Owner) []Owner) {
 	h := t.services[service]
 	before := h.present().Owners
 	after := change(slices.Clone(before))
@@ -208,7 +208,7 @@
 		return
 	}
 	epochs := append(slices.Clone(h.epochs), Epoch{Offset: p.Offset, Start: p.Time, Owners: after})
-	for len(epochs) > 1 && p.Time.Sub(epochs[1].Start) > keptHistory {
+	for len(epochs) > 1 && p.Time.Sub(epochs[1].Start) > historyRetention {
 		epochs = epochs[1:]
 	}
 	if len(epochs) > maxEpochs {
@@ -218,12 +218,12 @@
 	t.services[service] = history{epochs: epochs, truncated: h.truncated}
 }
 
-func lifeOf(o Owner) string {
+func incarnationKey(o Owner) string {
 	return o.Node + "#" + strconv.FormatUint(o.Incarnation, 10)
 }
 
 // Owners returns the present owners of the keys of a service.
-func (t *Table) Owners(service string) []Owner {
+func (t *OwnershipTable) Owners(service string) []Owner {
 	if t == nil {
 		return nil
 	}
@@ -231,7 +231,7 @@
 }
 
 // Owner returns the present home of a key.
-func (t *Table) Owner(service, key string) (Owner, bool) {
+func (t *OwnershipTable) Owner(service, key string) (Owner, bool) {
 	return rendezvous(t.Owners(service), key)
 }
 
@@ -256,17 +256,17 @@
 	Truncated bool    `json:"truncated,omitempty"`
 }
 
-// SavedLife is the stored form of a life that has ended.
-type SavedLife struct {
-	Life       string    `json:"life"`
-	At         time.Time `json:"at"`
-	HandedOver bool      `json:"handed-over,omitempty"`
+// SavedIncarnation is the stored form of a life that has ended.
+type SavedIncarnation struct {
+	Incarnation string    `json:"life"`
+	At          time.Time `json:"at"`
+	HandedOver  bool      `json:"handed-over,omitempty"`
 }
 
 // Saved is the form of a table that is stored and sent.
 type Saved struct {
-	Services []SavedService `json:"services"`
-	Ended    []SavedLife    `json:"ended"`
+	Services []SavedService     `json:"services"`
+	Ended    []SavedIncarnation `json:"ended"`
 }
 
 // Empty reports whether nothing was ever owned.
@@ -275,7 +275,7 @@
 }
 
 // Save returns the stored form.
-func (t *Table) Save() Saved {
+func (t *OwnershipTable) Save() Saved {
 	var saved Saved
 	if t == nil {
 		return saved
@@ -285,19 +285,19 @@
 		saved.Services = append(saved.Services, SavedService{service, h.epochs, h.truncated})
 	}
 	for _, life := range slices.Sorted(maps.Keys(t.ended)) {
-		saved.Ended = append(saved.Ended, SavedLife{life, t.ended[life].at, t.ended[life].handedOver})
+		saved.Ended = append(saved.Ended, SavedIncarnation{life, t.ended[life].at, t.ended[life].handedOver})
 	}
 	return saved
 }
 
 // Load rebuilds a table from its stored form.
-func Load(saved Saved) *Table {
-	t := (*Table)(nil).WithRecords(nil)
+func Load(saved Saved) *OwnershipTable {
+	t := (*OwnershipTable)(nil).WithRecords(nil)
 	for _, s := range saved.Services {
 		t.services[s.Service] = history{s.Epochs, s.Truncated}
 	}
 	for _, l := range saved.Ended {
-		t.ended[l.Life] = ending{l.At, l.HandedOver}
+		t.ended[l.Incarnation] = endedIncarnation{l.At, l.HandedOver}
 	}
 	return t
 }
--- a/wharf/wharfhome/table_test.go
+++ b/wharf/wharfhome/table_test.go
@@ -12,19 +12,19 @@
 
 const service = "bookings"
 
-var horizon = Horizon{Resend: 10 * time.Minute, Skew: 2 * time.Second, Staleness: 15 * time.Minute}
+var horizon = DedupWindow{Resend: 10 * time.Minute, Skew: 2 * time.Second, Staleness: 15 * time.Minute}
 
 // at places records in a log, a minute apart.
-func at(records ...Record) []Positioned {
-	out := make([]Positioned, len(records))
+func at(records ...OwnershipRecord) []LoggedRecord {
+	out := make([]LoggedRecord, len(records))
 	for i, r := range records {
-		out[i] = Positioned{r, uint64(i + 1), epoch.Add(time.Duration(i) * time.Minute)}
+		out[i] = LoggedRecord{r, uint64(i + 1), epoch.Add(time.Duration(i) * time.Minute)}
 	}
 	return out
 }
 
-func announced(node string, incarnation uint64) Record {
-	return Record{Kind: Announce, Node: node, Incarnation: incarnation, Services: []string{service}}
+func announced(node string, incarnation uint64) OwnershipRecord {
+	return OwnershipRecord{Kind: Announce, Node: node, Incarnation: incarnation, Services: []string{service}}
 }
 
 // keyOf returns a key whose home among some nodes is the given one.
@@ -45,53 +45,53 @@
 	moved := keyOf("b", "a", "b")
 	tests := []struct {
 		name    string
-		records []Record
+		records []OwnershipRecord
 		after   time.Duration
 		key     string
 		owner   string
 		consult int
 		lost    bool
 	}{
-		{"first owner", []Record{announced("a", 1)}, 0, moved, "a", 0, false},
-		{"joined by a second", []Record{announced("a", 1), announced("b", 1)}, 0, moved, "b", 1, false},
-		{"after the horizon, earlier home may be stale", []Record{announced("a", 1), announced("b", 1)}, 20 * time.Minute, moved, "b", 1, false},
-		{"after horizon and staleness", []Record{announced("a", 1), announced("b", 1)}, 26 * time.Minute, moved, "b", 0, false},
-		{"restart, after the horizon", []Record{announced("a", 1), announced("a", 2)}, 11 * time.Minute, moved, "a", 0, false},
-		{"a key that stayed", []Record{announced("a", 1), announced("b", 1)}, 0, keyOf("a", "a", "b"), "a", 0, false},
-		{"restart without hand-over", []Record{announced("a", 1), announced("a", 2)}, 0, moved, "a", 0, true},
-		{"restart after hand-over", []Record{
+		{"first owner", []OwnershipRecord{announced("a", 1)}, 0, moved, "a", 0, false},
+		{"joined by a second", []OwnershipRecord{announced("a", 1), announced("b", 1)}, 0, moved, "b", 1, false},
+		{"after the horizon, earlier home may be stale", []OwnershipRecord{announced("a", 1), announced("b", 1)}, 20 * time.Minute, moved, "b", 1, false},
+		{"after horizon and staleness", []OwnershipRecord{announced("a", 1), announced("b", 1)}, 26 * time.Minute, moved, "b", 0, false},
+		{"restart, after the horizon", []OwnershipRecord{announced("a", 1), announced("a", 2)}, 11 * time.Minute, moved, "a", 0, false},
+		{"a key that stayed", []OwnershipRecord{announced("a", 1), announced("b", 1)}, 0, keyOf("a", "a", "b"), "a", 0, false},
+		{"restart without hand-over", []OwnershipRecord{announced("a", 1), announced("a", 2)}, 0, moved, "a", 0, true},
+		{"restart after hand-over", []OwnershipRecord{
 			announced("a", 1), announced("b", 1),
 			{Kind: Release, Node: "b", Incarnation: 1}, {Kind: HandedOver, Node: "b", Incarnation: 1},
 		}, 0, moved, "a", 0, false},
-		{"released, not yet handed over", []Record{
+		{"released, not yet handed over", []OwnershipRecord{
 			announced("a", 1), announced("b", 1), {Kind: Release, Node: "b", Incarnation: 1},
 		}, 0, moved, "a", 1, false},
-		{"evicted", []Record{
+		{"evicted", []OwnershipRecord{
 			announced("a", 1), announced("b", 1), {Kind: Evict, Node: "b", Incarnation: 1, By: "ops"},
 		}, 0, moved, "a", 1, false},
-		{"released life announces again", []Record{
+		{"released life announces again", []OwnershipRecord{
 			announced("a", 1), announced("b", 1), {Kind: Release, Node: "b", Incarnation: 1}, announced("b", 1),
 		}, 0, moved, "a", 1, false},
-		{"older life announces late", []Record{announced("a", 2), announced("a", 1)}, 0, moved, "a", 0, false},
+		{"older life announces late", []OwnershipRecord{announced("a", 2), announced("a", 1)}, 0, moved, "a", 0, false},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
 			is := is.New(t)
 			records := at(tc.records...)
-			table := Load((*Table)(nil).WithRecords(records).Save())
+			table := Load((*OwnershipTable)(nil).WithRecords(records).Save())
 			now := records[len(records)-1].Time.Add(tc.after)
 			r, ok := table.Resolve(now, service, tc.key, horizon)
 			is.True(ok)
 			is.Equal(r.Owner.Node, tc.owner)
-			is.Equal(len(r.Consult), tc.consult)
-			is.Equal(r.Lost, tc.lost)
+			is.Equal(len(r.PreviousOwners), tc.consult)
+			is.Equal(r.RecordsLost, tc.lost)
 		})
 	}
 }
 
 func TestNewerKeyNeedsNoQuestion(t *testing.T) {
 	is := is.New(t)
-	table := (*Table)(nil).WithRecords(at(announced("a", 1), announced("a", 2)))
+	table := (*OwnershipTable)(nil).WithRecords(at(announced("a", 1), announced("a", 2)))
 	move := epoch.Add(time.Minute)
 	for _, tc := range []struct {
 		name  string
@@ -104,7 +104,7 @@
 	} {
 		r, ok := table.Resolve(move.Add(time.Minute), service, keyMintedAt(move.Add(tc.after)), horizon)
 		is.True(ok)
-		is.Equal(r.Lost, tc.lost)
+		is.Equal(r.RecordsLost, tc.lost)
 	}
 }
 
@@ -120,14 +120,14 @@
 
 func TestServiceLeftByAnnouncement(t *testing.T) {
 	is := is.New(t)
-	table := (*Table)(nil).WithRecords(at(announced("a", 1), Record{Kind: Announce, Node: "a", Incarnation: 1, Services: []string{"other"}}))
+	table := (*OwnershipTable)(nil).WithRecords(at(announced("a", 1), OwnershipRecord{Kind: Announce, Node: "a", Incarnation: 1, Services: []string{"other"}}))
 	is.Equal(len(table.Owners(service)), 0)
 	is.Equal(table.OwnedBy(Owner{Node: "a", Incarnation: 1}), []string{"other"})
 }
 
 func TestSavedTableIsTheSame(t *testing.T) {
 	is := is.New(t)
-	table := (*Table)(nil).WithRecords(at(announced("a", 1), announced("b", 1), Record{Kind: HandedOver, Node: "a", Incarnation: 1}))
+	table := (*OwnershipTable)(nil).WithRecords(at(announced("a", 1), announced("b", 1), OwnershipRecord{Kind: HandedOver, Node: "a", Incarnation: 1}))
 	data, err := json.Marshal(table.Save())
 	is.NoErr(err)
 	var saved Saved
--- a/wharf/wharflog/client.go
+++ b/wharf/wharflog/client.go
@@ -25,8 +25,8 @@
 // callTimeout bounds one call, on top of the wait that a read asks for.
 const callTimeout = 2 * time.Second
 
-// Appended is the body of the answer to an append.
-type Appended struct {
+// AppendResponse is the body of the answer to an append.
+type AppendResponse struct {
 	Offset uint64 `json:"offset"`
 }
 
@@ -48,7 +48,7 @@
 func (c *Client) Append(ctx context.Context, stream string, data []byte) (uint64, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	var appended Appended
+	var appended AppendResponse
 	response, err := c.http.R().
 		SetContext(ctx).
 		SetPathParam("stream", stream).
@@ -63,7 +63,7 @@
 	case http.StatusCreated:
 		return appended.Offset, nil
 	case http.StatusTooManyRequests:
-		return 0, wharfstream.ErrTooFast
+		return 0, wharfstream.ErrRateLimited
 	case http.StatusServiceUnavailable:
 		return 0, wharfstream.ErrUnavailable
 	default:
--- a/wharf/wharflog/contract_test.go
+++ b/wharf/wharflog/contract_test.go
@@ -134,7 +134,7 @@
 }
 
 func TestClientTellsFailuresApart(t *testing.T) {
-	for _, want := range []error{wharfstream.ErrUncertain, wharfstream.ErrTooFast, wharfstream.ErrUnavailable} {
+	for _, want := range []error{wharfstream.ErrUncertain, wharfstream.ErrRateLimited, wharfstream.ErrUnavailable} {
 		t.Run(want.Error(), func(t *testing.T) {
 			is := is.New(t)
 			l := &faultyLog{err: want}
--- a/wharf/wharflog/handler.go
+++ b/wharf/wharflog/handler.go
@@ -52,12 +52,12 @@
 	case errors.Is(err, wharfstream.ErrUncertain):
 		// The answer is lost: the client must not be told anything.
 		panic(http.ErrAbortHandler)
-	case errors.Is(err, wharfstream.ErrTooFast):
+	case errors.Is(err, wharfstream.ErrRateLimited):
 		http.Error(w, err.Error(), http.StatusTooManyRequests)
 	case err != nil:
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
 	default:
-		reply(w, http.StatusCreated, Appended{Offset: offset})
+		reply(w, http.StatusCreated, AppendResponse{Offset: offset})
 	}
 }
 
--- a/wharf/wharfmember/detector.go
+++ b/wharf/wharfmember/detector.go
@@ -6,26 +6,26 @@
 )
 
 const (
-	// reportersNeeded is how many nodes must accuse one before it is down.
-	reportersNeeded = 2
-	// accusationLife is how long an accusation counts.
-	accusationLife = 5 * time.Second
-	// failuresToAccuse is how many exchanges in a row must fail.
-	failuresToAccuse = 3
+	// reporterQuorum is how many nodes must accuse one before it is down.
+	reporterQuorum = 2
+	// reportTTL is how long an accusation counts.
+	reportTTL = 5 * time.Second
+	// failuresToReport is how many exchanges in a row must fail.
+	failuresToReport = 3
 )
 
-// Accusation says that a reporter can't reach a node.
-type Accusation struct {
+// FailureReport says that a reporter can't reach a node.
+type FailureReport struct {
 	Subject     string
 	Incarnation uint64
 	Reporter    string
 }
 
-// Detector decides which nodes are down. It isn't safe for concurrent use.
-// The zero Detector accuses nobody.
-type Detector struct {
-	failures    []failureCount
-	accusations []heard
+// FailureDetector decides which nodes are down. It isn't safe for concurrent use.
+// The zero FailureDetector accuses nobody.
+type FailureDetector struct {
+	failures []failureCount
+	reports  []receivedReport
 }
 
 type failureCount struct {
@@ -33,14 +33,14 @@
 	count int
 }
 
-type heard struct {
-	Accusation
+type receivedReport struct {
+	FailureReport
 	at time.Time
 }
 
-// Exchanged records whether an exchange with a node succeeded. It returns
+// RecordExchange records whether an exchange with a node succeeded. It returns
 // true when the node is to be accused.
-func (d *Detector) Exchanged(node string, ok bool) bool {
+func (d *FailureDetector) RecordExchange(node string, ok bool) bool {
 	i := slices.IndexFunc(d.failures, func(f failureCount) bool { return f.node == node })
 	if ok {
 		if i >= 0 {
@@ -53,31 +53,31 @@
 		i = len(d.failures) - 1
 	}
 	d.failures[i].count++
-	return d.failures[i].count >= failuresToAccuse
+	return d.failures[i].count >= failuresToReport
 }
 
-// Accuse takes an accusation, own or heard, and returns whether enough
+// AddReport takes an accusation, own or heard, and returns whether enough
 // reporters agree that the subject is down. Where fewer watch it, all must.
-func (d *Detector) Accuse(now time.Time, a Accusation, watchers int) bool {
-	d.accusations = slices.DeleteFunc(d.accusations, func(h heard) bool {
-		return now.Sub(h.at) >= accusationLife || h.Accusation == a
+func (d *FailureDetector) AddReport(now time.Time, a FailureReport, watchers int) bool {
+	d.reports = slices.DeleteFunc(d.reports, func(h receivedReport) bool {
+		return now.Sub(h.at) >= reportTTL || h.FailureReport == a
 	})
-	d.accusations = append(d.accusations, heard{a, now})
+	d.reports = append(d.reports, receivedReport{a, now})
 	reporters := 0
-	for _, h := range d.accusations {
+	for _, h := range d.reports {
 		if h.Subject == a.Subject && h.Incarnation == a.Incarnation {
 			reporters++
 		}
 	}
-	return reporters >= min(reportersNeeded, max(watchers, 1))
+	return reporters >= min(reporterQuorum, max(watchers, 1))
 }
 
-// Standing returns the accusations that still count, to be passed on.
-func (d *Detector) Standing(now time.Time) []Accusation {
-	var out []Accusation
-	for _, h := range d.accusations {
-		if now.Sub(h.at) < accusationLife {
-			out = append(out, h.Accusation)
+// ActiveReports returns the accusations that still count, to be passed on.
+func (d *FailureDetector) ActiveReports(now time.Time) []FailureReport {
+	var out []FailureReport
+	for _, h := range d.reports {
+		if now.Sub(h.at) < reportTTL {
+			out = append(out, h.FailureReport)
 		}
 	}
 	return out
--- a/wharf/wharfmember/member_test.go
+++ b/wharf/wharfmember/member_test.go
@@ -90,7 +90,7 @@
 	}
 	watchers := map[string]int{}
 	for _, m := range table.All() {
-		for _, w := range table.Watched(m.Node) {
+		for _, w := range table.Monitored(m.Node) {
 			is.Equal(w.FailureDomain, m.FailureDomain)
 			watchers[w.Node]++
 		}
@@ -99,47 +99,47 @@
 		is.Equal(watchers[m.Node], ringNeighbours)
 	}
 	rng := rand.New(rand.NewPCG(1, 2))
-	far, ok := table.Distant("n00000", rng)
+	far, ok := table.RandomRemote("n00000", rng)
 	is.True(ok && far.FailureDomain != "d0")
 }
 
 func TestDetectorNeedsSeveralReporters(t *testing.T) {
 	now := time.Unix(0, 0)
-	one := Accusation{Subject: "x", Incarnation: 1, Reporter: "a"}
-	two := Accusation{Subject: "x", Incarnation: 1, Reporter: "b"}
+	one := FailureReport{Subject: "x", Incarnation: 1, Reporter: "a"}
+	two := FailureReport{Subject: "x", Incarnation: 1, Reporter: "b"}
 	tests := []struct {
 		name     string
-		first    Accusation
-		second   Accusation
+		first    FailureReport
+		second   FailureReport
 		after    time.Duration
 		watchers int
 		want     bool
 	}{
 		{"two reporters", one, two, time.Second, 3, true},
 		{"one reporter twice", one, one, time.Second, 3, false},
-		{"too long apart", one, two, accusationLife, 3, false},
-		{"of another incarnation", one, Accusation{"x", 2, "b"}, time.Second, 3, false},
+		{"too long apart", one, two, reportTTL, 3, false},
+		{"of another incarnation", one, FailureReport{"x", 2, "b"}, time.Second, 3, false},
 		{"the only watcher", one, one, time.Second, 1, true},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
 			is := is.New(t)
-			var d Detector
-			d.Accuse(now, tc.first, tc.watchers)
-			is.Equal(d.Accuse(now.Add(tc.after), tc.second, tc.watchers), tc.want)
+			var d FailureDetector
+			d.AddReport(now, tc.first, tc.watchers)
+			is.Equal(d.AddReport(now.Add(tc.after), tc.second, tc.watchers), tc.want)
 		})
 	}
 }
 
 func TestDetectorCountsFailuresInARow(t *testing.T) {
 	is := is.New(t)
-	var d Detector
-	is.True(!d.Exchanged("x", false))
-	is.True(!d.Exchanged("x", false))
-	d.Exchanged("x", true)
-	is.True(!d.Exchanged("x", false))
-	is.True(!d.Exchanged("x", false))
-	is.True(d.Exchanged("x", false))
+	var d FailureDetector
+	is.True(!d.RecordExchange("x", false))
+	is.True(!d.RecordExchange("x", false))
+	d.RecordExchange("x", true)
+	is.True(!d.RecordExchange("x", false))
+	is.True(!d.RecordExchange("x", false))
+	is.True(d.RecordExchange("x", false))
 }
 
 func BenchmarkMerge(b *testing.B) {
--- a/wharf/wharfmember/neighbours.go
+++ b/wharf/wharfmember/neighbours.go
@@ -9,10 +9,10 @@
 // node watches. As many watch it in turn.
 const ringNeighbours = 3
 
-// Watched returns the nodes of its own failure domain that a node exchanges
+// Monitored returns the nodes of its own failure domain that a node exchanges
 // with in each round and whose silence it reports: its successors on the ring
 // of ids. Nodes that are down or have left are passed over.
-func (t *Table) Watched(self string) []Member {
+func (t *Table) Monitored(self string) []Member {
 	m, ok := t.members[self]
 	if !ok {
 		return nil
@@ -29,9 +29,9 @@
 	return out
 }
 
-// Distant returns one random node of another failure domain, so that news
+// RandomRemote returns one random node of another failure domain, so that news
 // cross between failure domains.
-func (t *Table) Distant(self string, rng *rand.Rand) (Member, bool) {
+func (t *Table) RandomRemote(self string, rng *rand.Rand) (Member, bool) {
 	m := t.members[self]
 	var domains []string
 	for domain, nodes := range t.domains {
@@ -46,9 +46,9 @@
 	return t.randomOf(domains[rng.IntN(len(domains))], self, rng)
 }
 
-// Nearby returns one random node of the own failure domain, so that news
+// RandomLocal returns one random node of the own failure domain, so that news
 // spread in a number of rounds that grows with the logarithm of its size.
-func (t *Table) Nearby(self string, rng *rand.Rand) (Member, bool) {
+func (t *Table) RandomLocal(self string, rng *rand.Rand) (Member, bool) {
 	return t.randomOf(t.members[self].FailureDomain, self, rng)
 }
 
--- a/wharf/wharfquarantine/entry.go
+++ b/wharf/wharfquarantine/entry.go
@@ -28,9 +28,9 @@
 // Crash is a crash that a request was in flight in.
 type Crash struct {
 	CrashID
-	// Forgiven says that the request has run without harm since. It is kept so
+	// Cleared says that the request has run without harm since. It is kept so
 	// that word from a node which doesn't know it can't bring the blame back.
-	Forgiven bool
+	Cleared bool
 }
 
 // Entry is what is known against a fingerprint.
@@ -50,7 +50,7 @@
 func (e Entry) Targets() []string {
 	var out []string
 	for _, c := range e.Crashes {
-		if !c.Forgiven {
+		if !c.Cleared {
 			out = append(out, c.Target)
 		}
 	}
@@ -65,25 +65,25 @@
 // once forgiven stays forgiven.
 func (e Entry) with(c Crash) (Entry, bool) {
 	i := e.find(c.CrashID)
-	if i >= 0 && (e.Crashes[i].Forgiven || !c.Forgiven) {
+	if i >= 0 && (e.Crashes[i].Cleared || !c.Cleared) {
 		return e, false
 	}
 	crashes := slices.Clone(e.Crashes)
 	if i >= 0 {
-		crashes[i].Forgiven = true
+		crashes[i].Cleared = true
 	} else {
-		crashes = append(dropForgiven(crashes), c)
+		crashes = append(dropCleared(crashes), c)
 	}
 	e.Crashes = crashes
 	e.Quarantined = e.Quarantined || len(e.Targets()) >= crashesToQuarantine
 	return e, true
 }
 
-// dropForgiven makes room for a crash by dropping the oldest forgiven one.
-func dropForgiven(crashes []Crash) []Crash {
+// dropCleared makes room for a crash by dropping the oldest forgiven one.
+func dropCleared(crashes []Crash) []Crash {
 	if len(crashes) < maxCrashes {
 		return crashes
 	}
-	i := slices.IndexFunc(crashes, func(c Crash) bool { return c.Forgiven })
+	i := slices.IndexFunc(crashes, func(c Crash) bool { return c.Cleared })
 	return slices.Delete(crashes, max(i, 0), max(i, 0)+1)
 }
--- a/wharf/wharfquarantine/list.go
+++ b/wharf/wharfquarantine/list.go
@@ -8,10 +8,10 @@
 )
 
 const (
-	// suspicionLife is how long a suspicion lasts after the last crash.
-	suspicionLife = 2 * time.Minute
-	// quarantineLife is how long a request is refused after the last crash.
-	quarantineLife = 10 * time.Minute
+	// suspicionTTL is how long a suspicion lasts after the last crash.
+	suspicionTTL = 2 * time.Minute
+	// quarantineTTL is how long a request is refused after the last crash.
+	quarantineTTL = 10 * time.Minute
 	// maxEntries bounds the memory of the list.
 	maxEntries = 10_000
 
@@ -32,19 +32,19 @@
 	return &l.shards[uint64(fp)%listShards]
 }
 
-// Crash records that a target crashed while fingerprints were in flight, and
+// RecordCrash records that a target crashed while fingerprints were in flight, and
 // returns the entries that others have to learn.
-func (l *List) Crash(now time.Time, id CrashID, inFlight []Fingerprint) []Entry {
+func (l *List) RecordCrash(now time.Time, id CrashID, inFlight []Fingerprint) []Entry {
 	var changed []Entry
 	for _, fp := range inFlight {
-		if e, news := l.blame(now, fp, id); news {
+		if e, news := l.addCrash(now, fp, id); news {
 			changed = append(changed, e)
 		}
 	}
 	return changed
 }
 
-func (l *List) blame(now time.Time, fp Fingerprint, id CrashID) (Entry, bool) {
+func (l *List) addCrash(now time.Time, fp Fingerprint, id CrashID) (Entry, bool) {
 	s := l.shard(fp)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -53,9 +53,9 @@
 	if old.Quarantined || !news {
 		return old, false
 	}
-	e.Expires = now.Add(suspicionLife)
+	e.Expires = now.Add(suspicionTTL)
 	if e.Quarantined {
-		e.Expires = now.Add(quarantineLife)
+		e.Expires = now.Add(quarantineTTL)
 	}
 	s.put(now, e)
 	return e, true
@@ -80,9 +80,9 @@
 	s.put(now, e)
 }
 
-// Succeeded forgives a request that ran without harm, and returns the entry
+// RecordSuccess forgives a request that ran without harm, and returns the entry
 // that others have to learn, if there was blame. A quarantine stays.
-func (l *List) Succeeded(now time.Time, fp Fingerprint) (Entry, bool) {
+func (l *List) RecordSuccess(now time.Time, fp Fingerprint) (Entry, bool) {
 	s := l.shard(fp)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -177,13 +177,13 @@
 		s.entries = make(map[Fingerprint]Entry)
 	}
 	if len(s.entries) >= maxEntries/listShards {
-		s.makeRoom(now)
+		s.evict(now)
 	}
 	s.entries[e.Fingerprint] = e
 }
 
-// makeRoom drops expired entries, and mere suspicions if that isn't enough.
-func (s *listShard) makeRoom(now time.Time) {
+// evict drops expired entries, and mere suspicions if that isn't enough.
+func (s *listShard) evict(now time.Time) {
 	for fp, e := range s.entries {
 		if !now.Before(e.Expires) {
 			delete(s.entries, fp)
--- a/wharf/wharfquarantine/list_test.go
+++ b/wharf/wharfquarantine/list_test.go
@@ -25,32 +25,32 @@
 		now    time.Time
 		want   bool
 	}{
-		{"one crash", func(l *List) { l.Crash(epoch, crash("a", 1), []Fingerprint{1}) }, epoch, false},
+		{"one crash", func(l *List) { l.RecordCrash(epoch, crash("a", 1), []Fingerprint{1}) }, epoch, false},
 		{"two crashes of one target", func(l *List) {
-			l.Crash(epoch, crash("a", 1), []Fingerprint{1})
-			l.Crash(epoch, crash("a", 2), []Fingerprint{1})
+			l.RecordCrash(epoch, crash("a", 1), []Fingerprint{1})
+			l.RecordCrash(epoch, crash("a", 2), []Fingerprint{1})
 		}, epoch, true},
 		{"one crash reported twice", func(l *List) {
-			l.Crash(epoch, crash("a", 1), []Fingerprint{1})
-			l.Crash(epoch, crash("a", 1), []Fingerprint{1})
+			l.RecordCrash(epoch, crash("a", 1), []Fingerprint{1})
+			l.RecordCrash(epoch, crash("a", 1), []Fingerprint{1})
 		}, epoch, false},
 		{"two targets", func(l *List) {
-			l.Crash(epoch, crash("a", 1), []Fingerprint{1})
-			l.Crash(epoch, crash("b", 1), []Fingerprint{1})
+			l.RecordCrash(epoch, crash("a", 1), []Fingerprint{1})
+			l.RecordCrash(epoch, crash("b", 1), []Fingerprint{1})
 		}, epoch, true},
 		{"success in between", func(l *List) {
-			l.Crash(epoch, crash("a", 1), []Fingerprint{1})
-			l.Succeeded(epoch, 1)
-			l.Crash(epoch, crash("b", 1), []Fingerprint{1})
+			l.RecordCrash(epoch, crash("a", 1), []Fingerprint{1})
+			l.RecordSuccess(epoch, 1)
+			l.RecordCrash(epoch, crash("b", 1), []Fingerprint{1})
 		}, epoch, false},
 		{"second crash was seen elsewhere", func(l *List) {
-			l.Crash(epoch, crash("a", 1), []Fingerprint{1})
+			l.RecordCrash(epoch, crash("a", 1), []Fingerprint{1})
 			l.Merge(epoch, Entry{Fingerprint: 1, Crashes: []Crash{{CrashID: crash("b", 1)}}, Expires: epoch.Add(time.Minute)})
 		}, epoch, true},
 		{"after it expired", func(l *List) {
-			l.Crash(epoch, crash("a", 1), []Fingerprint{1})
-			l.Crash(epoch, crash("b", 1), []Fingerprint{1})
-		}, epoch.Add(quarantineLife), false},
+			l.RecordCrash(epoch, crash("a", 1), []Fingerprint{1})
+			l.RecordCrash(epoch, crash("b", 1), []Fingerprint{1})
+		}, epoch.Add(quarantineTTL), false},
 		{"old news", func(l *List) {
 			l.Merge(epoch, Entry{Fingerprint: 1, Quarantined: true, Expires: epoch})
 		}, epoch, false},
@@ -79,7 +79,7 @@
 			continue
 		}
 		crashes++
-		entries := lists[at].Crash(now, crash(fmt.Sprint(at), crashes), []Fingerprint{7})
+		entries := lists[at].RecordCrash(now, crash(fmt.Sprint(at), crashes), []Fingerprint{7})
 		for i := range lists {
 			for _, e := range entries {
 				lists[i].Merge(now, e)
@@ -113,11 +113,11 @@
 func TestBystandersAreCleared(t *testing.T) {
 	is := is.New(t)
 	var l List
-	l.Crash(epoch, crash("a", 1), []Fingerprint{1, 2})
+	l.RecordCrash(epoch, crash("a", 1), []Fingerprint{1, 2})
 	is.True(l.Suspected(epoch, 2))
-	l.Succeeded(epoch, 2)
+	l.RecordSuccess(epoch, 2)
 	is.True(!l.Suspected(epoch, 2))
-	l.Crash(epoch, crash("b", 1), []Fingerprint{1, 2})
+	l.RecordCrash(epoch, crash("b", 1), []Fingerprint{1, 2})
 	_, refused := l.Quarantined(epoch, 2)
 	is.True(!refused)
 }
@@ -128,12 +128,12 @@
 	rapid.Check(t, func(t *rapid.T) {
 		const nodes = 4
 		var lists [nodes]List
-		for _, e := range lists[0].Crash(epoch, crash("a", 1), []Fingerprint{1}) {
+		for _, e := range lists[0].RecordCrash(epoch, crash("a", 1), []Fingerprint{1}) {
 			for i := range rapid.IntRange(1, nodes).Draw(t, "told") {
 				lists[i].Merge(epoch, e)
 			}
 		}
-		lists[0].Succeeded(epoch, 1)
+		lists[0].RecordSuccess(epoch, 1)
 		forgiven := [nodes]bool{true}
 		for range rapid.IntRange(1, 30).Draw(t, "exchanges") {
 			from, to := rapid.IntRange(0, nodes-1).Draw(t, "from"), rapid.IntRange(0, nodes-1).Draw(t, "to")
@@ -152,8 +152,8 @@
 	is := is.New(t)
 	var l List
 	for i := range 5 * maxCrashes {
-		l.Crash(epoch, crash("a", i), []Fingerprint{1})
-		l.Succeeded(epoch, 1)
+		l.RecordCrash(epoch, crash("a", i), []Fingerprint{1})
+		l.RecordSuccess(epoch, 1)
 	}
 	is.True(len(l.Entries(epoch)[0].Crashes) <= maxCrashes)
 	is.True(!l.Suspected(epoch, 1))
@@ -165,9 +165,9 @@
 	var l List
 	const entries, size = 200, 32
 	for fp := range Fingerprint(entries) {
-		l.Crash(epoch, crash("a", 1), []Fingerprint{fp})
+		l.RecordCrash(epoch, crash("a", 1), []Fingerprint{fp})
 	}
-	l.Crash(epoch, crash("b", 1), []Fingerprint{7})
+	l.RecordCrash(epoch, crash("b", 1), []Fingerprint{7})
 	rng := rand.New(rand.NewPCG(1, 2))
 	seen := map[Fingerprint]bool{}
 	for range 100 {
@@ -184,7 +184,7 @@
 func TestMemoryIsBounded(t *testing.T) {
 	var l List
 	for i := range Fingerprint(3 * maxEntries) {
-		l.Crash(epoch, crash("a", 1), []Fingerprint{i})
+		l.RecordCrash(epoch, crash("a", 1), []Fingerprint{i})
 	}
 	is.New(t).True(len(l.Entries(epoch)) <= maxEntries)
 }
--- a/wharf/wharfroute/route.go
+++ b/wharf/wharfroute/route.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Share is the part of a route's requests that one service gets.
-type Share struct {
+// WeightedService is the part of a route's requests that one service gets.
+type WeightedService struct {
 	Service string `json:"service"`
 	Weight  int    `json:"weight"`
 }
@@ -16,8 +16,8 @@
 	Name string `json:"name"`
 	Host string `json:"host"`
 	// Prefix begins and ends with a slash.
-	Prefix string  `json:"prefix"`
-	Shares []Share `json:"shares"`
+	Prefix   string            `json:"prefix"`
+	Services []WeightedService `json:"shares"`
 	// Rank orders routes; zero is the most important.
 	Rank       int  `json:"rank"`
 	Idempotent bool `json:"idempotent"`
@@ -29,10 +29,10 @@
 	Targets int `json:"targets"`
 }
 
-// Weight returns the sum of the weights.
-func (r *Route) Weight() int {
+// TotalWeight returns the sum of the weights.
+func (r *Route) TotalWeight() int {
 	sum := 0
-	for _, s := range r.Shares {
+	for _, s := range r.Services {
 		sum += s.Weight
 	}
 	return sum
@@ -40,7 +40,7 @@
 
 // Allows reports whether the route sends requests to a service.
 func (r *Route) Allows(service string) bool {
-	for _, s := range r.Shares {
+	for _, s := range r.Services {
 		if s.Service == service && s.Weight > 0 {
 			return true
 		}
@@ -81,7 +81,7 @@
 	for i := range set.Routes {
 		r := &set.Routes[i]
 		t.routes[place{strings.ToLower(r.Host), r.Prefix}] = r
-		for _, s := range r.Shares {
+		for _, s := range r.Services {
 			t.names[s.Service] = struct{}{}
 		}
 	}
--- a/wharf/wharfroute/route_test.go
+++ b/wharf/wharfroute/route_test.go
@@ -42,17 +42,17 @@
 		weights := rapid.SliceOfN(rapid.IntRange(0, 100), 1, 5).Draw(t, "weights")
 		r := &Route{}
 		for i, w := range weights {
-			r.Shares = append(r.Shares, Share{Service: string(rune('a' + i)), Weight: w})
+			r.Services = append(r.Services, WeightedService{Service: string(rune('a' + i)), Weight: w})
 		}
-		total := r.Weight()
+		total := r.TotalWeight()
 		if total == 0 || len(weights) == 1 {
 			return
 		}
-		var s Spread
+		var s WeightedRoundRobin
 		counts := map[string]int{}
 		for n := 1; n <= 300; n++ {
 			counts[s.Next(r)]++
-			for _, share := range r.Shares {
+			for _, share := range r.Services {
 				off := float64(counts[share.Service]) - float64(n*share.Weight)/float64(total)
 				if off < -float64(len(weights)) || off > float64(len(weights)) {
 					t.Fatalf("after %d requests %s is off by %f", n, share.Service, off)
--- a/wharf/wharfroute/spread.go
+++ b/wharf/wharfroute/spread.go
@@ -2,21 +2,21 @@
 
 import "slices"
 
-// Spread deals the requests of one route to its services in proportion to
+// WeightedRoundRobin deals the requests of one route to its services in proportion to
 // their weights, evenly over any short run of requests. It isn't safe for
-// concurrent use; its owner holds a lock. The zero Spread is ready to use.
-type Spread struct {
-	shares []Share
+// concurrent use; its owner holds a lock. The zero WeightedRoundRobin is ready to use.
+type WeightedRoundRobin struct {
+	shares []WeightedService
 	credit []int
 }
 
 // Next returns the service of the next request.
-func (s *Spread) Next(r *Route) string {
-	if len(r.Shares) == 1 {
-		return r.Shares[0].Service
+func (s *WeightedRoundRobin) Next(r *Route) string {
+	if len(r.Services) == 1 {
+		return r.Services[0].Service
 	}
-	if !slices.Equal(s.shares, r.Shares) {
-		s.shares, s.credit = r.Shares, make([]int, len(r.Shares))
+	if !slices.Equal(s.shares, r.Services) {
+		s.shares, s.credit = r.Services, make([]int, len(r.Services))
 	}
 	// Each service earns its weight with each request; the one that is owed
 	// most gets the request and pays for all.
@@ -30,6 +30,6 @@
 	if best < 0 {
 		return ""
 	}
-	s.credit[best] -= r.Weight()
+	s.credit[best] -= r.TotalWeight()
 	return s.shares[best].Service
 }
--- a/wharf/wharfrouting/balancer.go
+++ b/wharf/wharfrouting/balancer.go
@@ -9,8 +9,8 @@
 	"ragwortwharf.dev/wharf/wharfoutcome"
 )
 
-// Place is where the sending node is.
-type Place struct {
+// Locality is where the sending node is.
+type Locality struct {
 	FailureDomain string
 	Region        string
 }
@@ -23,20 +23,20 @@
 	Priority wharfadmission.Priority
 	// Tried lists the targets that this request was already sent to.
 	Tried []string
-	// Only restricts the choice to the target of one node, if set.
-	Only string
+	// PinnedNode restricts the choice to the target of one node, if set.
+	PinnedNode string
 	// IgnoreLevels sends the request however the service is loaded.
 	IgnoreLevels bool
-	// Confinement bounds the targets that may run the request.
-	Confinement Confinement
+	// ExposureLimit bounds the targets that may run the request.
+	ExposureLimit ExposureLimit
 }
 
 // Balancer spreads the requests of a node over the targets of a service. It
 // isn't safe for concurrent use; its owner holds a lock.
 type Balancer struct {
-	place  Place
-	states []*state
-	levels []routeLevel
+	locality Locality
+	states   []*targetState
+	levels   []routeLevel
 }
 
 // routeLevel is the admission level that a route met at a target.
@@ -48,19 +48,19 @@
 }
 
 // NewBalancer returns a balancer without targets.
-func NewBalancer(place Place) *Balancer {
-	return &Balancer{place: place}
+func NewBalancer(place Locality) *Balancer {
+	return &Balancer{locality: place}
 }
 
 // SetTargets replaces the list of targets and keeps what was learnt of those
 // that stay.
 func (b *Balancer) SetTargets(now time.Time, targets []Target) {
 	first := len(b.states) == 0
-	states := make([]*state, 0, len(targets))
+	states := make([]*targetState, 0, len(targets))
 	for _, t := range targets {
 		s := b.find(t.Address)
 		if s == nil {
-			s = &state{added: now, hash: hashAddress(t.Address)}
+			s = &targetState{added: now, hash: hashAddress(t.Address)}
 			if first {
 				// Nothing is known of any target, so none is newer.
 				s.added = now.Add(-slowStart)
@@ -83,7 +83,7 @@
 	return n
 }
 
-func (b *Balancer) find(address string) *state {
+func (b *Balancer) find(address string) *targetState {
 	for _, s := range b.states {
 		if s.Address == address {
 			return s
@@ -99,7 +99,7 @@
 		return Target{}, wharfoutcome.ReasonNoTarget
 	}
 	if !r.IgnoreLevels {
-		candidates = slices.DeleteFunc(candidates, func(s *state) bool {
+		candidates = slices.DeleteFunc(candidates, func(s *targetState) bool {
 			return !b.admits(now, s, r)
 		})
 	}
@@ -107,9 +107,9 @@
 		return Target{}, wharfoutcome.ReasonOverload
 	}
 	if len(r.Tried) > 0 {
-		candidates = b.promising(now, candidates, r)
+		candidates = b.preferRoom(now, candidates, r)
 	}
-	candidates = r.Confinement.confine(candidates, b.states)
+	candidates = r.ExposureLimit.filter(candidates, b.states)
 	if len(candidates) == 0 {
 		return Target{}, wharfoutcome.ReasonSuspected
 	}
@@ -123,11 +123,11 @@
 
 // near returns a random candidate of the own failure domain, nil if there is none.
 // Two random ones of all often miss it, and what leaves the domain costs more.
-func (b *Balancer) near(rng *rand.Rand, candidates []*state) *state {
-	var found *state
+func (b *Balancer) near(rng *rand.Rand, candidates []*targetState) *targetState {
+	var found *targetState
 	seen := 0
 	for _, s := range candidates {
-		if s.FailureDomain != b.place.FailureDomain {
+		if s.FailureDomain != b.locality.FailureDomain {
 			continue
 		}
 		seen++
@@ -138,8 +138,8 @@
 	return found
 }
 
-func (b *Balancer) cheaper(now time.Time, x, y *state) *state {
-	if y.cost(now, b.place) < x.cost(now, b.place) {
+func (b *Balancer) cheaper(now time.Time, x, y *targetState) *targetState {
+	if y.cost(now, b.locality) < x.cost(now, b.locality) {
 		return y
 	}
 	return x
@@ -147,10 +147,10 @@
 
 // candidates returns the targets that may take the request. If most of them
 // are ejected, ejection is ignored.
-func (b *Balancer) candidates(now time.Time, r Request) []*state {
-	var open, all []*state
+func (b *Balancer) candidates(now time.Time, r Request) []*targetState {
+	var open, all []*targetState
 	for _, s := range b.states {
-		if s.Leaving || slices.Contains(r.Tried, s.Address) || r.Only != "" && s.Node != r.Only {
+		if s.Leaving || slices.Contains(r.Tried, s.Address) || r.PinnedNode != "" && s.Node != r.PinnedNode {
 			continue
 		}
 		all = append(all, s)
@@ -158,14 +158,14 @@
 			open = append(open, s)
 		}
 	}
-	if r.Only != "" || b.panics(now) {
+	if r.PinnedNode != "" || b.inPanicMode(now) {
 		return all
 	}
 	return open
 }
 
-// panics reports whether so many targets are ejected that ejection is ignored.
-func (b *Balancer) panics(now time.Time) bool {
+// inPanicMode reports whether so many targets are ejected that ejection is ignored.
+func (b *Balancer) inPanicMode(now time.Time) bool {
 	ejected, total := 0, 0
 	for _, s := range b.states {
 		if s.Leaving {
@@ -176,25 +176,25 @@
 			ejected++
 		}
 	}
-	return float64(ejected) > panicShare*float64(total)
+	return float64(ejected) > panicThreshold*float64(total)
 }
 
 // admits reports whether a target may take the request by its admission level.
 // One that holds less important work would shed that instead.
-func (b *Balancer) admits(now time.Time, s *state, r Request) bool {
-	if s.holdsLower(now, r.Rank) {
+func (b *Balancer) admits(now time.Time, s *targetState, r Request) bool {
+	if s.hasLowerPriorityQueued(now, r.Rank) {
 		return true
 	}
 	for _, l := range b.levels {
 		if l.target == s.Address && l.route == r.Route {
-			return now.Sub(l.at) >= reportLife || r.Priority <= l.level
+			return now.Sub(l.at) >= reportTTL || r.Priority <= l.level
 		}
 	}
 	return true
 }
 
 // Observe takes the result of an attempt at a target.
-func (b *Balancer) Observe(now time.Time, address, route string, result Result, latency time.Duration, report *Report) {
+func (b *Balancer) Observe(now time.Time, address, route string, result Result, latency time.Duration, report *LoadReport) {
 	s := b.find(address)
 	if s == nil {
 		return
@@ -203,35 +203,35 @@
 	s.observe(now, result, latency)
 	if report != nil {
 		s.report, s.reported = *report, now
-		b.noteLevel(now, address, route, report.RouteLevel)
+		b.recordLevel(now, address, route, report.RouteLevel)
 	}
 }
 
-func (b *Balancer) noteLevel(now time.Time, address, route string, level wharfadmission.Priority) {
+func (b *Balancer) recordLevel(now time.Time, address, route string, level wharfadmission.Priority) {
 	b.levels = slices.DeleteFunc(b.levels, func(l routeLevel) bool {
-		return now.Sub(l.at) >= reportLife || l.target == address && l.route == route
+		return now.Sub(l.at) >= reportTTL || l.target == address && l.route == route
 	})
 	if level < wharfadmission.LevelOpen {
 		b.levels = append(b.levels, routeLevel{address, route, level, now})
 	}
 }
 
-// HoldsLowerWork reports whether less important work than the request still waits
+// HasLowerPriorityQueued reports whether less important work than the request still waits
 // at another target, so that a refusal isn't the last word of the service.
-func (b *Balancer) HoldsLowerWork(now time.Time, r Request) bool {
-	return slices.ContainsFunc(b.candidates(now, r), func(s *state) bool { return s.holdsLower(now, r.Rank) })
+func (b *Balancer) HasLowerPriorityQueued(now time.Time, r Request) bool {
+	return slices.ContainsFunc(b.candidates(now, r), func(s *targetState) bool { return s.hasLowerPriorityQueued(now, r.Rank) })
 }
 
-// promising returns those of the candidates that are known to hold less
+// preferRoom returns those of the candidates that are known to hold less
 // important work, else those known to have room, else all. A request that was
 // refused goes there next, before its attempts are spent.
-func (b *Balancer) promising(now time.Time, candidates []*state, r Request) []*state {
-	var lower, room []*state
+func (b *Balancer) preferRoom(now time.Time, candidates []*targetState, r Request) []*targetState {
+	var lower, room []*targetState
 	for _, s := range candidates {
 		switch {
-		case s.holdsLower(now, r.Rank):
+		case s.hasLowerPriorityQueued(now, r.Rank):
 			lower = append(lower, s)
-		case s.hasRoom(now):
+		case s.hasQueueRoom(now):
 			room = append(room, s)
 		}
 	}
@@ -245,10 +245,10 @@
 	}
 }
 
-// HasRoom reports whether another target is known to let more requests in, so
+// HasCapacity reports whether another target is known to let more requests in, so
 // that the refusal of one target isn't that of the service.
-func (b *Balancer) HasRoom(now time.Time, r Request) bool {
-	return slices.ContainsFunc(b.candidates(now, r), func(s *state) bool { return s.hasRoom(now) && b.admits(now, s, r) })
+func (b *Balancer) HasCapacity(now time.Time, r Request) bool {
+	return slices.ContainsFunc(b.candidates(now, r), func(s *targetState) bool { return s.hasQueueRoom(now) && b.admits(now, s, r) })
 }
 
 // Level returns the lowest level that a route met in the service, as long as
@@ -256,7 +256,7 @@
 func (b *Balancer) Level(now time.Time, route string) wharfadmission.Priority {
 	level, found := wharfadmission.Priority(0), 0
 	for _, l := range b.levels {
-		if l.route == route && now.Sub(l.at) < reportLife {
+		if l.route == route && now.Sub(l.at) < reportTTL {
 			level = max(level, l.level)
 			found++
 		}
@@ -282,7 +282,7 @@
 	if advice == 0 {
 		advice = defaultRetryAfter
 	}
-	return wharfadmission.SpreadAdvice(advice, rng.Float64())
+	return wharfadmission.AddJitter(advice, rng.Float64())
 }
 
 // Ejected lists the targets that are left out at present.
--- a/wharf/wharfrouting/balancer_test.go
+++ b/wharf/wharfrouting/balancer_test.go
@@ -16,7 +16,7 @@
 
 var (
 	epoch = time.Unix(0, 0)
-	home  = Place{FailureDomain: "a", Region: "r"}
+	home  = Locality{FailureDomain: "a", Region: "r"}
 )
 
 func someTargets(n int) []Target {
@@ -51,14 +51,14 @@
 		}, Request{}, ""},
 		{"tried targets", func(*Balancer) {}, Request{Tried: []string{"t0"}}, ""},
 		{"ejected targets", func(b *Balancer) { b.Observe(epoch, "t0", "", Unreachable, 0, nil) }, Request{}, ""},
-		{"targets of other nodes", func(*Balancer) {}, Request{Only: "n1"}, ""},
+		{"targets of other nodes", func(*Balancer) {}, Request{PinnedNode: "n1"}, ""},
 		{"targets above whose level the request is", func(b *Balancer) {
-			b.Observe(epoch, "t0", "x", Answered, time.Millisecond, &Report{Limit: 10, RouteLevel: 100})
+			b.Observe(epoch, "t0", "x", Answered, time.Millisecond, &LoadReport{Limit: 10, RouteLevel: 100})
 		}, Request{Route: "x", Priority: 101}, ""},
 		{"all when both were tried", func(*Balancer) {}, Request{Tried: []string{"t0", "t1"}}, wharfoutcome.ReasonNoTarget},
 		{"all when the service refuses the level", func(b *Balancer) {
 			for _, a := range []string{"t0", "t1"} {
-				b.Observe(epoch, a, "x", Answered, time.Millisecond, &Report{Limit: 10, RouteLevel: 100})
+				b.Observe(epoch, a, "x", Answered, time.Millisecond, &LoadReport{Limit: 10, RouteLevel: 100})
 			}
 		}, Request{Route: "x", Priority: 101}, wharfoutcome.ReasonOverload},
 	}
@@ -80,10 +80,10 @@
 func TestLevelsExpire(t *testing.T) {
 	is := is.New(t)
 	b := newTestBalancer(1)
-	b.Observe(epoch, "t0", "x", Answered, time.Millisecond, &Report{Limit: 1, RouteLevel: 5})
+	b.Observe(epoch, "t0", "x", Answered, time.Millisecond, &LoadReport{Limit: 1, RouteLevel: 5})
 	is.Equal(b.Level(epoch, "x"), wharfadmission.Priority(5))
 	is.Equal(b.Level(epoch, "y"), wharfadmission.LevelOpen) // other routes are not concerned
-	_, reason := b.Pick(epoch.Add(reportLife), newRand(), Request{Route: "x", Priority: 9})
+	_, reason := b.Pick(epoch.Add(reportTTL), newRand(), Request{Route: "x", Priority: 9})
 	is.Equal(reason, wharfoutcome.ReasonNone)
 }
 
@@ -98,7 +98,7 @@
 		for range rapid.IntRange(1, 60).Draw(t, "events") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 3000).Draw(t, "pause")) * time.Millisecond)
 			address := fmt.Sprint("t", rapid.IntRange(0, n-1).Draw(t, "target"))
-			result := Result(rapid.IntRange(int(Answered), int(Withdrawn)).Draw(t, "result"))
+			result := Result(rapid.IntRange(int(Answered), int(Cancelled)).Draw(t, "result"))
 			b.Observe(now, address, "", result, time.Millisecond, nil)
 			if _, reason := b.Pick(now, rng, Request{}); reason != wharfoutcome.ReasonNone {
 				t.Fatalf("no target: %s", reason)
@@ -137,7 +137,7 @@
 			latency *= 10
 			picks++
 		}
-		b.Observe(now, target.Address, "", Answered, latency, &Report{Limit: 10, RouteLevel: wharfadmission.LevelOpen})
+		b.Observe(now, target.Address, "", Answered, latency, &LoadReport{Limit: 10, RouteLevel: wharfadmission.LevelOpen})
 	}
 	t.Logf("%d of 400", picks)
 	is.True(picks < 160)
@@ -147,19 +147,19 @@
 	is := is.New(t)
 	b := newTestBalancer(2)
 	r := Request{Rank: 0, Tried: []string{"t0"}}
-	is.True(!b.HoldsLowerWork(epoch, r))
-	b.Observe(epoch, "t1", "", Answered, time.Millisecond, &Report{Limit: 10, Running: 10, Queued: 3, LowestRank: 4, RouteLevel: wharfadmission.LevelOpen})
-	is.True(b.HoldsLowerWork(epoch, r))
-	is.True(!b.HasRoom(epoch, r))
-	is.True(!b.HoldsLowerWork(epoch, Request{Rank: 4, Tried: []string{"t0"}}))
-	b.Observe(epoch, "t1", "", Answered, time.Millisecond, &Report{Limit: 10, Room: 1, RouteLevel: wharfadmission.LevelOpen})
-	is.True(b.HasRoom(epoch, r))
+	is.True(!b.HasLowerPriorityQueued(epoch, r))
+	b.Observe(epoch, "t1", "", Answered, time.Millisecond, &LoadReport{Limit: 10, Running: 10, Queued: 3, LowestRank: 4, RouteLevel: wharfadmission.LevelOpen})
+	is.True(b.HasLowerPriorityQueued(epoch, r))
+	is.True(!b.HasCapacity(epoch, r))
+	is.True(!b.HasLowerPriorityQueued(epoch, Request{Rank: 4, Tried: []string{"t0"}}))
+	b.Observe(epoch, "t1", "", Answered, time.Millisecond, &LoadReport{Limit: 10, QueueRoom: 1, RouteLevel: wharfadmission.LevelOpen})
+	is.True(b.HasCapacity(epoch, r))
 }
 
 func BenchmarkPick(b *testing.B) {
 	balancer := newTestBalancer(9)
 	rng := newRand()
-	report := &Report{Limit: 10, RouteLevel: wharfadmission.LevelOpen}
+	report := &LoadReport{Limit: 10, RouteLevel: wharfadmission.LevelOpen}
 	b.ReportAllocs()
 	for b.Loop() {
 		t, _ := balancer.Pick(epoch, rng, Request{Route: "x"})
--- a/wharf/wharfrouting/confine.go
+++ b/wharf/wharfrouting/confine.go
@@ -11,11 +11,11 @@
 // while it isn't known to be harmless.
 const maxExposed = 2
 
-// Confinement bounds the targets that a request may run on. All nodes that know
+// ExposureLimit bounds the targets that a request may run on. All nodes that know
 // the same targets come to the same few, so that a request which crashes its
 // targets can't reach more of them, however many nodes send it at once. The
-// zero Confinement bounds nothing.
-type Confinement struct {
+// zero ExposureLimit bounds nothing.
+type ExposureLimit struct {
 	// Fingerprint identifies the request over its resends. Zero means that it
 	// is known to be harmless.
 	Fingerprint uint64
@@ -25,26 +25,26 @@
 }
 
 // Allows reports whether a target is among those that may run the request.
-func (c Confinement) Allows(targets []Target, address string) bool {
+func (c ExposureLimit) Allows(targets []Target, address string) bool {
 	if slices.Contains(c.Crashed, address) {
 		// It costs no further target to run the request here again.
 		return true
 	}
-	states := make([]*state, 0, len(targets))
+	states := make([]*targetState, 0, len(targets))
 	for _, t := range targets {
-		states = append(states, &state{Target: t, hash: hashAddress(t.Address)})
+		states = append(states, &targetState{Target: t, hash: hashAddress(t.Address)})
 	}
-	open := slices.DeleteFunc(slices.Clone(states), func(s *state) bool { return s.Leaving })
-	allowed := c.confine(open, states)
-	return slices.ContainsFunc(allowed, func(s *state) bool { return s.Address == address })
+	open := slices.DeleteFunc(slices.Clone(states), func(s *targetState) bool { return s.Leaving })
+	allowed := c.filter(open, states)
+	return slices.ContainsFunc(allowed, func(s *targetState) bool { return s.Address == address })
 }
 
 func hashAddress(address string) uint64 {
 	return xxhash.Sum64String(address)
 }
 
-// weigh orders the targets for a request by rendezvous hashing.
-func (c Confinement) weigh(s *state) uint64 {
+// weight orders the targets for a request by rendezvous hashing.
+func (c ExposureLimit) weight(s *targetState) uint64 {
 	var b [16]byte
 	binary.LittleEndian.PutUint64(b[:8], c.Fingerprint)
 	binary.LittleEndian.PutUint64(b[8:], s.hash)
@@ -55,12 +55,12 @@
 // one with the highest weight first.
 type exposure struct {
 	domain  string
-	targets [maxExposed]*state
+	targets [maxExposed]*targetState
 	weights [maxExposed]uint64
 }
 
 // offer takes a target in if its weight is among the highest.
-func (x *exposure) offer(s *state, weight uint64) {
+func (x *exposure) offer(s *targetState, weight uint64) {
 	for i := range x.targets {
 		if x.targets[i] == nil || weight > x.weights[i] {
 			x.targets[i], s = s, x.targets[i]
@@ -72,15 +72,15 @@
 	}
 }
 
-// confine returns those of the candidates that may run the request. Known are
+// filter returns those of the candidates that may run the request. Known are
 // all targets of the service. A target that crashed is left to the others, and
 // comes back only if there are none.
-func (c Confinement) confine(candidates, known []*state) []*state {
+func (c ExposureLimit) filter(candidates, known []*targetState) []*targetState {
 	if c.Fingerprint == 0 {
 		return candidates
 	}
 	var exposures []exposure
-	var crashed, allowed []*state
+	var crashed, allowed []*targetState
 	for _, s := range candidates {
 		if slices.Contains(c.Crashed, s.Address) {
 			crashed = append(crashed, s)
@@ -91,7 +91,7 @@
 			i = len(exposures)
 			exposures = append(exposures, exposure{domain: s.FailureDomain})
 		}
-		exposures[i].offer(s, c.weigh(s))
+		exposures[i].offer(s, c.weight(s))
 	}
 	for _, x := range exposures {
 		allowed = append(allowed, x.first(maxExposed-c.crashedIn(x.domain, known))...)
@@ -104,10 +104,10 @@
 
 // crashedIn counts the crashes in a failure domain. That of a target which is
 // gone isn't known, so it counts in each.
-func (c Confinement) crashedIn(domain string, known []*state) int {
+func (c ExposureLimit) crashedIn(domain string, known []*targetState) int {
 	n := 0
 	for _, address := range c.Crashed {
-		i := slices.IndexFunc(known, func(s *state) bool { return s.Address == address })
+		i := slices.IndexFunc(known, func(s *targetState) bool { return s.Address == address })
 		if i < 0 || known[i].FailureDomain == domain {
 			n++
 		}
@@ -116,8 +116,8 @@
 }
 
 // first returns the targets with the highest weights, at most n.
-func (x *exposure) first(n int) []*state {
-	var out []*state
+func (x *exposure) first(n int) []*targetState {
+	var out []*targetState
 	for _, s := range x.targets[:max(n, 0)] {
 		if s != nil {
 			out = append(out, s)
--- a/wharf/wharfrouting/confine_test.go
+++ b/wharf/wharfrouting/confine_test.go
@@ -28,7 +28,7 @@
 	reached, crashed := map[string]string{}, []string(nil)
 	for i := range rapid.IntRange(1, 20).Draw(t, "sends") {
 		present := rapid.Permutation(targets).Draw(t, "order")
-		c := Confinement{Fingerprint: fingerprint}
+		c := ExposureLimit{Fingerprint: fingerprint}
 		if fingerprint != 0 && rapid.Bool().Draw(t, "knows of crash") {
 			c.Crashed = crashed
 			present = without(present, crashed)
@@ -38,7 +38,7 @@
 		for j := range present {
 			b.states[j].inFlight = rapid.IntRange(0, 9).Draw(t, "load")
 		}
-		target, reason := b.Pick(epoch, newRand(), Request{Confinement: c})
+		target, reason := b.Pick(epoch, newRand(), Request{ExposureLimit: c})
 		if reason != wharfoutcome.ReasonNone {
 			continue
 		}
@@ -102,7 +102,7 @@
 	rng := newRand()
 	got := map[string]int{}
 	for range requests {
-		target, reason := b.Pick(epoch, rng, Request{Confinement: Confinement{Fingerprint: rng.Uint64()}})
+		target, reason := b.Pick(epoch, rng, Request{ExposureLimit: ExposureLimit{Fingerprint: rng.Uint64()}})
 		is.Equal(reason, wharfoutcome.ReasonNone)
 		got[target.Address]++
 	}
@@ -117,7 +117,7 @@
 // crashed only if there is nowhere else.
 func TestCrashedTargetIsTheLastChoice(t *testing.T) {
 	is := is.New(t)
-	r := Request{Confinement: Confinement{Fingerprint: 7, Crashed: []string{"t0"}}}
+	r := Request{ExposureLimit: ExposureLimit{Fingerprint: 7, Crashed: []string{"t0"}}}
 	for n, want := range []string{1: "t0", 2: "t1"} {
 		if want == "" {
 			continue
@@ -132,16 +132,16 @@
 	tests := []struct {
 		name        string
 		targets     int
-		confinement Confinement
+		confinement ExposureLimit
 		want        int
 	}{
-		{"no bound", 5, Confinement{}, 5},
-		{"two of five", 5, Confinement{Fingerprint: 7}, 2},
-		{"a crashed one and one beside", 5, Confinement{Fingerprint: 7, Crashed: []string{"t3"}}, 2},
-		{"one beside a crashed one that is gone", 5, Confinement{Fingerprint: 7, Crashed: []string{"gone"}}, 1},
-		{"two crashed ones", 5, Confinement{Fingerprint: 7, Crashed: []string{"t3", "t4"}}, 2},
-		{"the only target, crashed", 1, Confinement{Fingerprint: 7, Crashed: []string{"t0"}}, 1},
-		{"the only target", 1, Confinement{Fingerprint: 7}, 1},
+		{"no bound", 5, ExposureLimit{}, 5},
+		{"two of five", 5, ExposureLimit{Fingerprint: 7}, 2},
+		{"a crashed one and one beside", 5, ExposureLimit{Fingerprint: 7, Crashed: []string{"t3"}}, 2},
+		{"one beside a crashed one that is gone", 5, ExposureLimit{Fingerprint: 7, Crashed: []string{"gone"}}, 1},
+		{"two crashed ones", 5, ExposureLimit{Fingerprint: 7, Crashed: []string{"t3", "t4"}}, 2},
+		{"the only target, crashed", 1, ExposureLimit{Fingerprint: 7, Crashed: []string{"t0"}}, 1},
+		{"the only target", 1, ExposureLimit{Fingerprint: 7}, 1},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
@@ -159,7 +159,7 @@
 	t.Run("crash in another failure domain", func(t *testing.T) {
 		is := is.New(t)
 		targets := spreadTargets(8, 2)
-		c := Confinement{Fingerprint: 7, Crashed: []string{targets[0].Address}}
+		c := ExposureLimit{Fingerprint: 7, Crashed: []string{targets[0].Address}}
 		allowed := map[string]int{}
 		for _, target := range targets {
 			if c.Allows(targets, target.Address) {
@@ -176,7 +176,7 @@
 	rng := newRand()
 	b.ReportAllocs()
 	for b.Loop() {
-		t, _ := balancer.Pick(epoch, rng, Request{Route: "x", Confinement: Confinement{Fingerprint: 7}})
+		t, _ := balancer.Pick(epoch, rng, Request{Route: "x", ExposureLimit: ExposureLimit{Fingerprint: 7}})
 		balancer.Observe(epoch, t.Address, "x", Answered, 0, nil)
 	}
 }
--- a/wharf/wharfrouting/losses_test.go
+++ b/wharf/wharfrouting/losses_test.go
@@ -30,7 +30,7 @@
 				part++
 			}
 			if rng.Float64() < lost {
-				result = Lost
+				result = ResponseLost
 			}
 		}
 		open = append(open, func() { b.Observe(now, target.Address, "", result, underWay*time.Millisecond, nil) })
--- a/wharf/wharfrouting/service_test.go
+++ b/wharf/wharfrouting/service_test.go
@@ -63,8 +63,8 @@
 // retryInService is the decision of the product.
 func retryInService(s *service, r Request, o wharfoutcome.Outcome) bool {
 	return wharfbudget.MayRetry(wharfbudget.Failure{
-		Outcome:        o,
-		ServiceRefuses: !s.balancer.HoldsLowerWork(s.now, r) && !s.balancer.HasRoom(s.now, r),
+		Outcome:       o,
+		NoAlternative: !s.balancer.HasLowerPriorityQueued(s.now, r) && !s.balancer.HasCapacity(s.now, r),
 	})
 }
 
@@ -87,7 +87,7 @@
 func (s *service) request(x sent) Request {
 	return Request{
 		Route: serviceRoute, Rank: x.Rank, Priority: x.Priority, Tried: x.tried,
-		Confinement: Confinement{Fingerprint: x.ID + 1},
+		ExposureLimit: ExposureLimit{Fingerprint: x.ID + 1},
 	}
 }
 
@@ -159,9 +159,9 @@
 func (s *service) report(i int) {
 	l := s.gates[i].Load()
 	address := fmt.Sprint("t", i)
-	s.balancer.Observe(s.now, address, serviceRoute, Refused, 0, &Report{
+	s.balancer.Observe(s.now, address, serviceRoute, Refused, 0, &LoadReport{
 		Running: l.Running, Queued: l.Queued, Limit: l.Limit, RouteLevel: l.Level,
-		LowestRank: max(l.LowestRank, 0), Room: l.Room,
+		LowestRank: max(l.LowestRank, 0), QueueRoom: l.QueueRoom,
 	})
 }
 
@@ -182,7 +182,7 @@
 		if slices.Contains(x.tried, fmt.Sprint("t", i)) {
 			continue
 		}
-		if !s.levels && s.gates[i].Load().Room > 0 {
+		if !s.levels && s.gates[i].Load().QueueRoom > 0 {
 			return fmt.Errorf("rank %d was refused while target %d has room", x.Rank, i)
 		}
 		for _, other := range waiting {
--- a/wharf/wharfrouting/silence.go
+++ b/wharf/wharfrouting/silence.go
@@ -3,19 +3,19 @@
 import "time"
 
 const (
-	// silentTime is the least silence that is noticed. It is above the round
+	// minStallTimeout is the least silence that is noticed. It is above the round
 	// trips between regions and a short stop of the other side.
-	silentTime = 250 * time.Millisecond
-	// silentFactor is the length of a silence in times that an answer usually
+	minStallTimeout = 250 * time.Millisecond
+	// stallFactor is the length of a silence in times that an answer usually
 	// takes. It is small because only a connection is tried then.
-	silentFactor = 2
-	// answerWeight smooths the time that an answer takes.
-	answerWeight = 0.1
+	stallFactor = 2
+	// responseWeight smooths the time that an answer takes.
+	responseWeight = 0.1
 )
 
-// Silence notices that somebody who used to answer doesn't any more. The zero
-// Silence has heard nothing yet. It isn't safe for concurrent use.
-type Silence struct {
+// StallDetector notices that somebody who used to answer doesn't any more. The zero
+// StallDetector has heard nothing yet. It isn't safe for concurrent use.
+type StallDetector struct {
 	// sent counts the calls since the last answer, and since is when the first
 	// of them was sent.
 	sent  int
@@ -23,28 +23,28 @@
 	usual float64
 }
 
-// Sent notes that a call is sent.
-func (s *Silence) Sent(now time.Time) {
+// RecordSend notes that a call is sent.
+func (s *StallDetector) RecordSend(now time.Time) {
 	if s.sent == 0 {
 		s.since = now
 	}
 	s.sent++
 }
 
-// Heard notes an answer, whatever it says, and how long it took.
-func (s *Silence) Heard(took time.Duration) {
+// RecordResponse notes an answer, whatever it says, and how long it took.
+func (s *StallDetector) RecordResponse(took time.Duration) {
 	s.sent = 0
-	s.usual += answerWeight * (took.Seconds() - s.usual)
+	s.usual += responseWeight * (took.Seconds() - s.usual)
 }
 
-// Due returns when the silence has lasted too long. It is false if no call waits
+// Deadline returns when the silence has lasted too long. It is false if no call waits
 // for an answer.
-func (s *Silence) Due() (time.Time, bool) {
+func (s *StallDetector) Deadline() (time.Time, bool) {
 	usual := time.Duration(s.usual * float64(time.Second))
-	return s.since.Add(max(silentTime, silentFactor*usual)), s.sent > 0
+	return s.since.Add(max(minStallTimeout, stallFactor*usual)), s.sent > 0
 }
 
-// Forget begins anew, as if nothing had been sent.
-func (s *Silence) Forget() {
+// Reset begins anew, as if nothing had been sent.
+func (s *StallDetector) Reset() {
 	s.sent = 0
 }
--- a/wharf/wharfrouting/silence_test.go
+++ b/wharf/wharfrouting/silence_test.go
@@ -10,31 +10,31 @@
 func TestSilenceBeginsWithTheFirstCallUnanswered(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
-	var s Silence
-	_, waits := s.Due()
+	var s StallDetector
+	_, waits := s.Deadline()
 	is.True(!waits)
-	s.Sent(now)
-	s.Sent(now.Add(time.Second))
-	due, waits := s.Due()
+	s.RecordSend(now)
+	s.RecordSend(now.Add(time.Second))
+	due, waits := s.Deadline()
 	is.True(waits)
-	is.Equal(due, now.Add(silentTime))
-	s.Heard(time.Millisecond)
-	_, waits = s.Due()
+	is.Equal(due, now.Add(minStallTimeout))
+	s.RecordResponse(time.Millisecond)
+	_, waits = s.Deadline()
 	is.True(!waits)
 }
 
 func TestSilenceOfTheSlowIsLonger(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
-	var s Silence
+	var s StallDetector
 	for range 1000 {
-		s.Sent(now)
-		s.Heard(time.Second)
+		s.RecordSend(now)
+		s.RecordResponse(time.Second)
 	}
-	s.Sent(now)
-	due, _ := s.Due()
-	is.Equal(due.Sub(now).Round(time.Millisecond), silentFactor*time.Second)
-	s.Forget()
-	_, waits := s.Due()
+	s.RecordSend(now)
+	due, _ := s.Deadline()
+	is.Equal(due.Sub(now).Round(time.Millisecond), stallFactor*time.Second)
+	s.Reset()
+	_, waits := s.Deadline()
 	is.True(!waits)
 }
--- a/wharf/wharfrouting/target.go
+++ b/wharf/wharfrouting/target.go
@@ -20,22 +20,22 @@
 	Leaving       bool
 }
 
-// Report is what an answer says of the load of its target.
-type Report struct {
+// LoadReport is what an answer says of the load of its target.
+type LoadReport struct {
 	Running int
 	Queued  int
 	Limit   int
 	// LowestRank is the largest rank that waits.
 	LowestRank int
-	// Room is how many more requests may wait.
-	Room int
+	// QueueRoom is how many more requests may wait.
+	QueueRoom int
 	// RouteLevel is the lowest admission level that requests of this route met
 	// at the target or below it.
 	RouteLevel wharfadmission.Priority
-	// Pressure is the wait at the target or at what it calls, whichever is longer.
-	Pressure time.Duration
-	// Internal says that this kind of request is a call of a service.
-	Internal bool
+	// QueueDelay is the wait at the target or at what it calls, whichever is longer.
+	QueueDelay time.Duration
+	// FromService says that this kind of request is a call of a service.
+	FromService bool
 	// RetryAfter is the advice that came with a refusal.
 	RetryAfter time.Duration
 }
@@ -53,11 +53,11 @@
 	Unreachable
 	// TargetFailed means that the node lives but its target broke off.
 	TargetFailed
-	// Lost means that the target lives and its answer was lost, or says that the
+	// ResponseLost means that the target lives and its answer was lost, or says that the
 	// target has failed.
-	Lost
-	// Withdrawn means that the sender gave up; it says nothing of the target.
-	Withdrawn
+	ResponseLost
+	// Cancelled means that the sender gave up; it says nothing of the target.
+	Cancelled
 )
 
 const (
@@ -68,11 +68,11 @@
 	// failuresToEject is how many failures in a row eject a target whose node
 	// can be reached. An unreachable node is ejected at once.
 	failuresToEject = 3
-	// panicShare is the share of ejected targets above which ejection is
+	// panicThreshold is the share of ejected targets above which ejection is
 	// ignored: then the trouble is not that of single targets.
-	panicShare = 0.5
-	// reportLife is how long a report is believed.
-	reportLife = time.Second
+	panicThreshold = 0.5
+	// reportTTL is how long a report is believed.
+	reportTTL = time.Second
 	// slowStart is how long a new target is taken for busier than it says.
 	slowStart = 5 * time.Second
 	// slowStartCost multiplies the cost of a target that was just added.
@@ -93,8 +93,8 @@
 	otherRegionCost = 8.0
 )
 
-// state is what a node has learnt of a target from its own calls.
-type state struct {
+// targetState is what a node has learnt of a target from its own calls.
+type targetState struct {
 	Target
 	// hash is that of the address.
 	hash     uint64
@@ -104,7 +104,7 @@
 	// losses is the share of answers that the target has lost of late.
 	losses   float64
 	lostLast time.Time
-	report   Report
+	report   LoadReport
 	reported time.Time
 
 	failures     int
@@ -112,27 +112,27 @@
 	ejectedUntil time.Time
 }
 
-func (s *state) ejected(now time.Time) bool {
+func (s *targetState) ejected(now time.Time) bool {
 	return now.Before(s.ejectedUntil)
 }
 
-func (s *state) fresh(now time.Time) bool {
-	return !s.reported.IsZero() && now.Sub(s.reported) < reportLife
+func (s *targetState) fresh(now time.Time) bool {
+	return !s.reported.IsZero() && now.Sub(s.reported) < reportTTL
 }
 
-// holdsLower reports whether work less important than a rank is known to wait
+// hasLowerPriorityQueued reports whether work less important than a rank is known to wait
 // at the target, so that it would give way.
-func (s *state) holdsLower(now time.Time, rank int) bool {
+func (s *targetState) hasLowerPriorityQueued(now time.Time, rank int) bool {
 	return s.fresh(now) && s.report.LowestRank > rank
 }
 
-// hasRoom reports whether more requests are known to be let in at the target.
-func (s *state) hasRoom(now time.Time) bool {
-	return s.fresh(now) && s.report.Room > 0
+// hasQueueRoom reports whether more requests are known to be let in at the target.
+func (s *targetState) hasQueueRoom(now time.Time) bool {
+	return s.fresh(now) && s.report.QueueRoom > 0
 }
 
 // cost estimates how long a request would take here, in arbitrary units.
-func (s *state) cost(now time.Time, p Place) float64 {
+func (s *targetState) cost(now time.Time, p Locality) float64 {
 	limit, busy := s.Slots, s.inFlight
 	if s.fresh(now) {
 		limit = s.report.Limit
@@ -156,7 +156,7 @@
 
 // lossRate returns the share of answers that the target loses. What is long past
 // counts less, because a target that is spared shows little of itself.
-func (s *state) lossRate(now time.Time) float64 {
+func (s *targetState) lossRate(now time.Time) float64 {
 	if s.losses == 0 {
 		return 0
 	}
@@ -164,13 +164,13 @@
 }
 
 // lost counts an answer that didn't come.
-func (s *state) lost(now time.Time) {
+func (s *targetState) lost(now time.Time) {
 	rate := s.lossRate(now)
 	s.losses, s.lostLast = rate+lossWeight*(1-rate), now
 }
 
 // observe takes the result of one attempt.
-func (s *state) observe(now time.Time, result Result, latency time.Duration) {
+func (s *targetState) observe(now time.Time, result Result, latency time.Duration) {
 	switch result {
 	case Answered:
 		s.failures, s.ejections = 0, 0
@@ -182,7 +182,7 @@
 		s.latency += latencyWeight * (latency.Seconds() - s.latency)
 	case Unreachable:
 		s.eject(now)
-	case Lost:
+	case ResponseLost:
 		s.lost(now)
 	case TargetFailed:
 		s.lost(now)
@@ -193,7 +193,7 @@
 	}
 }
 
-func (s *state) eject(now time.Time) {
+func (s *targetState) eject(now time.Time) {
 	if s.ejected(now) {
 		return
 	}
--- a/wharf/wharfsocket/socket.go
+++ b/wharf/wharfsocket/socket.go
@@ -40,8 +40,8 @@
 	return &net.Dialer{Timeout: timeout, KeepAliveConfig: keepAlive, Control: control}
 }
 
-// Accepts reports whether an address takes a connection in a time.
-func Accepts(ctx context.Context, address string, timeout time.Duration) bool {
+// CanConnect reports whether an address takes a connection in a time.
+func CanConnect(ctx context.Context, address string, timeout time.Duration) bool {
 	conn, err := (&net.Dialer{Timeout: timeout}).DialContext(ctx, "tcp", address)
 	if err != nil {
 		return false
--- a/wharf/wharfstate/envelope.go
+++ b/wharf/wharfstate/envelope.go
@@ -23,9 +23,9 @@
 
 // Envelope is the form of a record in the log. Exactly one field is set.
 type Envelope struct {
-	Change   *wharfconfig.Change `json:"change,omitempty"`
-	Home     *wharfhome.Record   `json:"home,omitempty"`
-	Snapshot []byte              `json:"snapshot,omitempty"`
+	Change    *wharfconfig.Change        `json:"change,omitempty"`
+	Ownership *wharfhome.OwnershipRecord `json:"home,omitempty"`
+	Snapshot  []byte                     `json:"snapshot,omitempty"`
 	// Routes is a whole set of routes. It takes the place of all earlier ones,
 	// so records that are missing before it don't matter.
 	Routes *wharfroute.Set `json:"routes,omitempty"`
@@ -47,18 +47,18 @@
 
 // saved is the stored form of a state.
 type saved struct {
-	Offset uint64            `json:"offset"`
-	Time   time.Time         `json:"time"`
-	Config wharfconfig.Saved `json:"config"`
-	Homes  wharfhome.Saved   `json:"homes"`
-	Routes *wharfroute.Set   `json:"routes,omitempty"`
+	Offset    uint64            `json:"offset"`
+	Time      time.Time         `json:"time"`
+	Config    wharfconfig.Saved `json:"config"`
+	Ownership wharfhome.Saved   `json:"homes"`
+	Routes    *wharfroute.Set   `json:"routes,omitempty"`
 }
 
 // Save returns the compressed stored form of a state.
 func (s *State) Save() ([]byte, error) {
 	var b bytes.Buffer
 	w := gzip.NewWriter(&b)
-	form := saved{Offset: s.Offset(), Time: s.Time(), Config: s.Config().Save(), Homes: s.Homes().Save()}
+	form := saved{Offset: s.Offset(), Time: s.Time(), Config: s.Config().Save(), Ownership: s.Ownership().Save()}
 	if t := s.Routes(); t != nil {
 		set := t.Set()
 		form.Routes = &set
@@ -93,8 +93,8 @@
 	if form.Config.Offset > 0 {
 		state.config = wharfconfig.Load(form.Config)
 	}
-	if !form.Homes.Empty() {
-		state.homes = wharfhome.Load(form.Homes)
+	if !form.Ownership.Empty() {
+		state.ownership = wharfhome.Load(form.Ownership)
 	}
 	if form.Routes != nil {
 		state.routes = wharfroute.NewTable(*form.Routes)
--- a/wharf/wharfstate/state.go
+++ b/wharf/wharfstate/state.go
@@ -12,11 +12,11 @@
 // State is the fold of the log up to an offset. It never changes; WithRecords
 // returns a new one. A nil State is empty.
 type State struct {
-	offset uint64
-	time   time.Time
-	config *wharfconfig.Snapshot
-	homes  *wharfhome.Table
-	routes *wharfroute.Table
+	offset    uint64
+	time      time.Time
+	config    *wharfconfig.Snapshot
+	ownership *wharfhome.OwnershipTable
+	routes    *wharfroute.Table
 	// snapshotOffset is where the last snapshot record stands.
 	snapshotOffset uint64
 }
@@ -45,12 +45,12 @@
 	return s.config
 }
 
-// Homes returns the ownership of keys.
-func (s *State) Homes() *wharfhome.Table {
+// Ownership returns the ownership of keys.
+func (s *State) Ownership() *wharfhome.OwnershipTable {
 	if s == nil {
 		return nil
 	}
-	return s.homes
+	return s.ownership
 }
 
 // Routes returns the routes, nil if there are none.
@@ -76,9 +76,9 @@
 // alone; without one the state stops before it.
 func (s *State) WithRecords(records []wharfstream.Record) *State {
 	if len(records) > 0 && records[0].Offset > s.Offset()+1 {
-		s = s.bridge(records)
+		s = s.skipGap(records)
 	}
-	f := fold{base: s, offset: s.Offset(), time: s.Time(), snapshotOffset: s.SnapshotOffset()}
+	f := applier{base: s, offset: s.Offset(), time: s.Time(), snapshotOffset: s.SnapshotOffset()}
 	for _, r := range records {
 		if r.Offset > f.offset+1 && (!s.onlyRoutes() || !hasRoutes(r)) {
 			break
@@ -93,7 +93,7 @@
 
 // onlyRoutes reports whether nothing but routes was ever folded.
 func (s *State) onlyRoutes() bool {
-	return s.Config() == nil && s.Homes() == nil
+	return s.Config() == nil && s.Ownership() == nil
 }
 
 func hasRoutes(r wharfstream.Record) bool {
@@ -101,9 +101,9 @@
 	return ok && e.Routes != nil
 }
 
-// bridge returns the furthest snapshot among the records, or the state itself
+// skipGap returns the furthest snapshot among the records, or the state itself
 // if there is none beyond it.
-func (s *State) bridge(records []wharfstream.Record) *State {
+func (s *State) skipGap(records []wharfstream.Record) *State {
 	best := s
 	for _, r := range records {
 		e, ok := Decode(r)
@@ -118,26 +118,26 @@
 	return best
 }
 
-// fold collects the records of one call, so that maps are copied once.
-type fold struct {
-	base           *State
-	offset         uint64
-	time           time.Time
-	snapshotOffset uint64
-	changes        []wharfconfig.Positioned
-	homes          []wharfhome.Positioned
-	routes         *wharfroute.Set
+// applier collects the records of one call, so that maps are copied once.
+type applier struct {
+	base             *State
+	offset           uint64
+	time             time.Time
+	snapshotOffset   uint64
+	changes          []wharfconfig.LoggedChange
+	ownershipRecords []wharfhome.LoggedRecord
+	routes           *wharfroute.Set
 }
 
-func (f *fold) add(r wharfstream.Record) {
+func (f *applier) add(r wharfstream.Record) {
 	f.offset, f.time = r.Offset, r.Time
 	e, ok := Decode(r)
 	switch {
 	case !ok:
 	case e.Change != nil:
-		f.changes = append(f.changes, wharfconfig.Positioned{Change: *e.Change, Offset: r.Offset, Time: r.Time})
-	case e.Home != nil:
-		f.homes = append(f.homes, wharfhome.Positioned{Record: *e.Home, Offset: r.Offset, Time: r.Time})
+		f.changes = append(f.changes, wharfconfig.LoggedChange{Change: *e.Change, Offset: r.Offset, Time: r.Time})
+	case e.Ownership != nil:
+		f.ownershipRecords = append(f.ownershipRecords, wharfhome.LoggedRecord{Record: *e.Ownership, Offset: r.Offset, Time: r.Time})
 	case e.Routes != nil:
 		f.addRoutes(e.Routes)
 	case e.Snapshot != nil:
@@ -146,7 +146,7 @@
 }
 
 // addRoutes takes a set of routes if its version is higher.
-func (f *fold) addRoutes(set *wharfroute.Set) {
+func (f *applier) addRoutes(set *wharfroute.Set) {
 	version := f.base.Routes().Version()
 	if f.routes != nil {
 		version = f.routes.Version
@@ -156,19 +156,19 @@
 	}
 }
 
-func (f *fold) state() *State {
+func (f *applier) state() *State {
 	if f.base != nil && f.offset == f.base.offset {
 		return f.base
 	}
 	next := &State{
 		offset: f.offset, time: f.time, snapshotOffset: f.snapshotOffset,
-		config: f.base.Config(), homes: f.base.Homes(), routes: f.base.Routes(),
+		config: f.base.Config(), ownership: f.base.Ownership(), routes: f.base.Routes(),
 	}
 	if len(f.changes) > 0 {
 		next.config = next.config.WithChanges(f.changes)
 	}
-	if len(f.homes) > 0 {
-		next.homes = next.homes.WithRecords(f.homes)
+	if len(f.ownershipRecords) > 0 {
+		next.ownership = next.ownership.WithRecords(f.ownershipRecords)
 	}
 	if f.routes != nil {
 		next.routes = wharfroute.NewTable(*f.routes)
--- a/wharf/wharfstate/state_test.go
+++ b/wharf/wharfstate/state_test.go
@@ -34,7 +34,7 @@
 			doc := &wharfconfig.Document{Kind: wharfconfig.KindClass, Name: fmt.Sprint("c", i), Rank: i % wharfconfig.MaxRank}
 			e.Change = &wharfconfig.Change{ID: fmt.Sprint(i), Edits: []wharfconfig.Edit{{Key: doc.Key(), Document: doc}}}
 		case 2:
-			e.Home = &wharfhome.Record{Kind: wharfhome.Announce, Node: fmt.Sprint("n", i%7), Incarnation: uint64(i), Services: []string{"s"}}
+			e.Ownership = &wharfhome.OwnershipRecord{Kind: wharfhome.Announce, Node: fmt.Sprint("n", i%7), Incarnation: uint64(i), Services: []string{"s"}}
 		case 3:
 			covered := (*State)(nil).WithRecords(records[:max(len(records)-2, 0)])
 			data, err := covered.Save()
@@ -69,7 +69,7 @@
 			}
 			whole := (*State)(nil).WithRecords(log[:s.Offset()])
 			if len(whole.Config().Objects()) != len(s.Config().Objects()) ||
-				fmt.Sprint(whole.Homes().Owners("s")) != fmt.Sprint(s.Homes().Owners("s")) {
+				fmt.Sprint(whole.Ownership().Owners("s")) != fmt.Sprint(s.Ownership().Owners("s")) {
 				t.Fatalf("states differ at %d", s.Offset())
 			}
 		}
--- a/wharf/wharfstream/record.go
+++ b/wharf/wharfstream/record.go
@@ -28,6 +28,6 @@
 	ErrUncertain = errors.New("append may or may not have taken effect")
 	// ErrExpired means that records were asked for that are no longer kept.
 	ErrExpired = errors.New("records have expired")
-	// ErrTooFast means that the service refused an append for its rate limit.
-	ErrTooFast = errors.New("append rate limit reached")
+	// ErrRateLimited means that the service refused an append for its rate limit.
+	ErrRateLimited = errors.New("append rate limit reached")
 )
--- a/wharfctl/audit.go
+++ b/wharfctl/audit.go
@@ -59,7 +59,7 @@
 // changeLines describes the changes of operators.
 func changeLines(state *wharfstate.State) []auditLine {
 	var out []auditLine
-	for _, v := range state.Config().Verdicts() {
+	for _, v := range state.Config().Decisions() {
 		out = append(out, auditLine{v.Time, fmt.Sprintf("%s changed %s: %s at offset %d", v.Author, joinKeys(v.Keys), verdictOf(v), v.Offset)})
 	}
 	return out
@@ -70,14 +70,14 @@
 	var out []auditLine
 	for _, r := range records {
 		e, ok := wharfstate.Decode(r)
-		if !ok || e.Home == nil {
+		if !ok || e.Ownership == nil {
 			continue
 		}
-		who := e.Home.Node
-		if e.Home.Kind == wharfhome.Evict {
-			who = e.Home.By + " for " + e.Home.Node
+		who := e.Ownership.Node
+		if e.Ownership.Kind == wharfhome.Evict {
+			who = e.Ownership.By + " for " + e.Ownership.Node
 		}
-		out = append(out, auditLine{r.Time, fmt.Sprintf("%s: ownership %s at offset %d", who, e.Home.Kind, r.Offset)})
+		out = append(out, auditLine{r.Time, fmt.Sprintf("%s: ownership %s at offset %d", who, e.Ownership.Kind, r.Offset)})
 	}
 	return out
 }
--- a/wharfctl/delete.go
+++ b/wharfctl/delete.go
@@ -29,9 +29,9 @@
 }
 
 // keys returns the objects to remove, and a fault for each that isn't there.
-func (c *deleteCommand) keys(state *wharfstate.State) ([]wharfconfig.ObjectKey, wharfcli.Faults) {
+func (c *deleteCommand) keys(state *wharfstate.State) ([]wharfconfig.ObjectKey, wharfcli.Issues) {
 	var keys []wharfconfig.ObjectKey
-	var faults wharfcli.Faults
+	var faults wharfcli.Issues
 	for _, o := range c.Objects {
 		kind, name, _ := strings.Cut(o, "/")
 		key := wharfconfig.ObjectKey{Kind: wharfconfig.Kind(kind), Name: name}
--- a/wharfctl/explain.go
+++ b/wharfctl/explain.go
@@ -64,7 +64,7 @@
 	return withDocuments(config, docs), nil
 }
 
-func withDocuments(config *wharfconfig.Snapshot, docs []wharfconfig.Located) *wharfconfig.Snapshot {
-	change := wharfpublish.Positioned(config, docs)
-	return config.WithChanges([]wharfconfig.Positioned{change})
+func withDocuments(config *wharfconfig.Snapshot, docs []wharfconfig.SourceDocument) *wharfconfig.Snapshot {
+	change := wharfpublish.ProposedChange(config, docs)
+	return config.WithChanges([]wharfconfig.LoggedChange{change})
 }
--- a/wharfctl/history.go
+++ b/wharfctl/history.go
@@ -17,7 +17,7 @@
 // Run prints one line for each change, the oldest first.
 func (c *historyCommand) Run(ctx context.Context, t *terminal) error {
 	return c.do(ctx, func(_ context.Context, s session) error {
-		for _, v := range s.state.Config().Verdicts() {
+		for _, v := range s.state.Config().Decisions() {
 			if c.concerns(v) {
 				t.printVerdict(v)
 			}
@@ -26,7 +26,7 @@
 	})
 }
 
-func (c *historyCommand) concerns(v wharfconfig.Verdict) bool {
+func (c *historyCommand) concerns(v wharfconfig.Decision) bool {
 	if len(c.Objects) == 0 {
 		return true
 	}
@@ -40,14 +40,14 @@
 	return false
 }
 
-func verdictOf(v wharfconfig.Verdict) string {
+func verdictOf(v wharfconfig.Decision) string {
 	if v.Accepted {
 		return "accepted"
 	}
 	return "rejected"
 }
 
-func (t *terminal) printVerdict(v wharfconfig.Verdict) {
+func (t *terminal) printVerdict(v wharfconfig.Decision) {
 	t.printf("%s  offset %d  %s  %s  %s", v.Time.UTC().Format(time.RFC3339), v.Offset, v.Author, verdictOf(v), joinKeys(v.Keys))
 	if v.Note != "" {
 		t.printf("  (%s)", v.Note)
--- a/wharfctl/internal/wharfpublish/publisher.go
+++ b/wharfctl/internal/wharfpublish/publisher.go
@@ -68,8 +68,8 @@
 // Result is what became of a change.
 type Result struct {
 	// Known is false if it could not be learnt whether the change was accepted.
-	Known   bool
-	Verdict wharfconfig.Verdict
+	Known    bool
+	Decision wharfconfig.Decision
 	// Err says what stood in the way.
 	Err error
 }
@@ -125,11 +125,11 @@
 		if err != nil {
 			last = err
 		}
-		refused := errors.Is(err, wharfstream.ErrTooFast) || errors.Is(err, wharfstream.ErrUnavailable)
+		refused := errors.Is(err, wharfstream.ErrRateLimited) || errors.Is(err, wharfstream.ErrUnavailable)
 		mayHaveLanded = mayHaveLanded || !refused
 		next, verdict, found := p.await(ctx, s, change.ID)
 		if found {
-			return Result{Known: true, Verdict: verdict}
+			return Result{Known: true, Decision: verdict}
 		}
 		s = next
 		wharftimer.Sleep(ctx, retryPause)
@@ -141,12 +141,12 @@
 }
 
 // await looks for the verdict on a change in what the log holds now.
-func (p Publisher) await(ctx context.Context, s *wharfstate.State, id string) (*wharfstate.State, wharfconfig.Verdict, bool) {
+func (p Publisher) await(ctx context.Context, s *wharfstate.State, id string) (*wharfstate.State, wharfconfig.Decision, bool) {
 	next, err := p.follow(ctx, s)
 	if err != nil {
-		return s, wharfconfig.Verdict{}, false
+		return s, wharfconfig.Decision{}, false
 	}
-	verdict, found := next.Config().Verdict(id)
+	verdict, found := next.Config().Decision(id)
 	return next, verdict, found
 }
 
@@ -156,8 +156,8 @@
 	if !ok {
 		return oops.Code("not-owner").Errorf("node %s owns no keys", node)
 	}
-	record := wharfhome.Record{Kind: wharfhome.Evict, Node: node, Incarnation: owner.Incarnation, By: author}
-	data, err := wharfstate.Envelope{Home: &record}.Encode()
+	record := wharfhome.OwnershipRecord{Kind: wharfhome.Evict, Node: node, Incarnation: owner.Incarnation, By: author}
+	data, err := wharfstate.Envelope{Ownership: &record}.Encode()
 	if err != nil {
 		return err
 	}
@@ -166,8 +166,8 @@
 }
 
 func ownerOf(s *wharfstate.State, node string) (wharfhome.Owner, bool) {
-	for _, h := range s.Homes().Save().Services {
-		for _, o := range s.Homes().Owners(h.Service) {
+	for _, h := range s.Ownership().Save().Services {
+		for _, o := range s.Ownership().Owners(h.Service) {
 			if o.Node == node {
 				return o, true
 			}
@@ -197,13 +197,13 @@
 	}
 }
 
-// Positioned returns the change that documents would make, placed right after
+// ProposedChange returns the change that documents would make, placed right after
 // a configuration, to try them without publishing.
-func Positioned(config *wharfconfig.Snapshot, docs []wharfconfig.Located) wharfconfig.Positioned {
+func ProposedChange(config *wharfconfig.Snapshot, docs []wharfconfig.SourceDocument) wharfconfig.LoggedChange {
 	change := wharfconfig.Change{ID: uuid.NewString()}
 	for _, d := range docs {
 		current, _ := config.Object(d.Key())
 		change.Edits = append(change.Edits, wharfconfig.Edit{Key: d.Key(), Base: current.Version, Document: &d.Document})
 	}
-	return wharfconfig.Positioned{Change: change, Offset: config.Offset() + 1}
+	return wharfconfig.LoggedChange{Change: change, Offset: config.Offset() + 1}
 }
--- a/wharfctl/label.go
+++ b/wharfctl/label.go
@@ -28,7 +28,7 @@
 		if document.Labels, err = applyLabels(document.Labels, c.Labels); err != nil {
 			return err
 		}
-		faults := wharfconfig.Validate([]wharfconfig.Located{{Document: document, File: "label"}}, s.state.Config())
+		faults := wharfconfig.Validate([]wharfconfig.SourceDocument{{Document: document, File: "label"}}, s.state.Config())
 		if len(faults) > 0 {
 			return invalid(faults)
 		}
@@ -47,7 +47,7 @@
 	if out == nil {
 		out = map[string]string{}
 	}
-	var faults wharfcli.Faults
+	var faults wharfcli.Issues
 	for _, s := range settings {
 		if key, ok := strings.CutSuffix(s, "-"); ok && !strings.Contains(s, "=") {
 			delete(out, key)
--- a/wharfctl/node.go
+++ b/wharfctl/node.go
@@ -19,7 +19,7 @@
 
 // get asks the node and decodes its answer.
 func (a nodeAccess) get(ctx context.Context, path string, params map[string]string, into any) error {
-	var faults wharfcli.Faults
+	var faults wharfcli.Issues
 	faults.URL("node", a.Node)
 	if len(faults) > 0 {
 		return wharfcli.ExitError{Code: wharfcli.ExitUsage, Err: faults}
--- a/wharfctl/terminal.go
+++ b/wharfctl/terminal.go
@@ -38,7 +38,7 @@
 
 // do reads the state from the log and hands it to a command.
 func (a logAccess) do(ctx context.Context, command func(ctx context.Context, s session) error) error {
-	var faults wharfcli.Faults
+	var faults wharfcli.Issues
 	faults.URL("log-url", a.LogURL)
 	faults.AtLeast("timeout", a.Timeout, time.Second)
 	if len(faults) > 0 {
@@ -63,7 +63,7 @@
 // do reads the state from the log and hands it to a command of an author.
 func (a changeAccess) do(ctx context.Context, command func(ctx context.Context, s session) error) error {
 	if a.Author == "" {
-		return wharfcli.ExitError{Code: wharfcli.ExitUsage, Err: wharfcli.Faults{"--author: is empty"}}
+		return wharfcli.ExitError{Code: wharfcli.ExitUsage, Err: wharfcli.Issues{"--author: is empty"}}
 	}
 	return a.logAccess.do(ctx, command)
 }
@@ -76,13 +76,13 @@
 }
 
 // readFiles parses files and returns every fault of their form.
-func readFiles(paths []string) ([]wharfconfig.Located, wharfconfig.Faults) {
-	var docs []wharfconfig.Located
-	var faults wharfconfig.Faults
+func readFiles(paths []string) ([]wharfconfig.SourceDocument, wharfconfig.Issues) {
+	var docs []wharfconfig.SourceDocument
+	var faults wharfconfig.Issues
 	for _, path := range paths {
 		data, err := os.ReadFile(path)
 		if err != nil {
-			faults = append(faults, wharfconfig.Fault{Code: wharfconfig.CodeSyntax, File: path, Line: 1, Message: err.Error()})
+			faults = append(faults, wharfconfig.Issue{Code: wharfconfig.CodeSyntax, File: path, Line: 1, Message: err.Error()})
 			continue
 		}
 		found, f := wharfconfig.Parse(path, data)
@@ -92,7 +92,7 @@
 	return docs, faults
 }
 
-func invalid(faults wharfconfig.Faults) error {
+func invalid(faults wharfconfig.Issues) error {
 	return wharfcli.ExitError{Code: wharfcli.ExitUsage, Err: faults}
 }
 
@@ -104,12 +104,12 @@
 		return wharfcli.ExitError{Code: exitUnknown, Err: r.Err}
 	case r.Err != nil:
 		return r.Err
-	case r.Verdict.Accepted:
-		t.printf("accepted at offset %d: %s\n", r.Verdict.Offset, joinKeys(r.Verdict.Keys))
+	case r.Decision.Accepted:
+		t.printf("accepted at offset %d: %s\n", r.Decision.Offset, joinKeys(r.Decision.Keys))
 		return nil
 	}
-	t.printf("rejected at offset %d\n", r.Verdict.Offset)
-	for _, c := range r.Verdict.Conflicts {
+	t.printf("rejected at offset %d\n", r.Decision.Offset)
+	for _, c := range r.Decision.Conflicts {
 		t.printf("  %s\n", describe(c))
 	}
 	return wharfcli.ExitError{Code: exitRejected}
--- a/wharfnode/internal/wharfadmin/api.go
+++ b/wharfnode/internal/wharfadmin/api.go
@@ -36,9 +36,9 @@
 type API struct {
 	View       *wharfview.View
 	Registry   *wharftarget.Registry
-	Entry      *wharfentry.Entry
+	Proxy      *wharfentry.Proxy
 	Ledger     *wharfbudget.Ledger
-	Keys       *wharfhome.Keys
+	Keys       *wharfhome.KeyStore
 	Quarantine *wharfquarantine.List
 	Targets    targetKeeper
 	Auditor    auditor
@@ -67,8 +67,8 @@
 	return mux
 }
 
-// fault is the body of every answer that refuses a request.
-type fault struct {
+// apiError is the body of every answer that refuses a request.
+type apiError struct {
 	Code    string `json:"code"`
 	Message string `json:"message"`
 }
@@ -92,27 +92,27 @@
 	reply(w, http.StatusOK, t)
 }
 
-func readTarget(w http.ResponseWriter, r *http.Request) (wharfmember.Target, *fault) {
+func readTarget(w http.ResponseWriter, r *http.Request) (wharfmember.Target, *apiError) {
 	var t wharfmember.Target
 	decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxAnnouncement))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(&t); err != nil {
-		return t, &fault{"announcement-syntax", err.Error()}
+		return t, &apiError{"announcement-syntax", err.Error()}
 	}
 	if _, err := decoder.Token(); !errors.Is(err, io.EOF) {
-		return t, &fault{"announcement-syntax", "more follows the announcement"}
+		return t, &apiError{"announcement-syntax", "more follows the announcement"}
 	}
 	if t.Service == "" {
-		return t, &fault{"service-missing", "service is empty"}
+		return t, &apiError{"service-missing", "service is empty"}
 	}
 	if _, err := netip.ParseAddrPort(t.Address); err != nil {
-		return t, &fault{"address-syntax", "address is not of the form IP:port"}
+		return t, &apiError{"address-syntax", "address is not of the form IP:port"}
 	}
 	if t.Slots < 1 || t.Slots > maxSlots {
-		return t, &fault{"slots-range", "slots must be 1 to 100000"}
+		return t, &apiError{"slots-range", "slots must be 1 to 100000"}
 	}
 	if err := wharfselector.CheckLabels(t.Labels); err != nil {
-		return t, &fault{"label-syntax", err.Error()}
+		return t, &apiError{"label-syntax", err.Error()}
 	}
 	return t, nil
 }
@@ -121,7 +121,7 @@
 func (a *API) leave(w http.ResponseWriter, r *http.Request) {
 	address := r.URL.Query().Get("address")
 	if !a.Targets.Leave(address) {
-		reply(w, http.StatusNotFound, fault{"target-unknown", "no target has announced the address " + address})
+		reply(w, http.StatusNotFound, apiError{"target-unknown", "no target has announced the address " + address})
 		return
 	}
 	w.WriteHeader(http.StatusNoContent)
@@ -154,18 +154,18 @@
 		Self:     a.View.SelfMember(),
 		Offset:   a.View.State().Offset(),
 		StateAge: unconfirmedAge,
-		Calls:    a.Entry.Calls(),
+		Calls:    a.Proxy.Calls(),
 		Served:   a.Ledger.Len(),
 		Keys:     a.Keys.Len(),
 		KeyBytes: a.Keys.Bytes(),
-		Ejected:  a.Entry.Ejected(),
-		Owned:    a.View.State().Homes().OwnedBy(a.View.Self()),
+		Ejected:  a.Proxy.Ejected(),
+		Owned:    a.View.State().Ownership().OwnedBy(a.View.Self()),
 		Targets:  a.Registry.Status(),
 	}
-	if fresh := a.View.Fresh(); !fresh.IsZero() {
+	if fresh := a.View.ConfirmedAt(); !fresh.IsZero() {
 		s.StateAge = time.Since(fresh).Seconds()
 	}
-	s.Members = a.View.NodesSeen()
+	s.Members = a.View.KnownNodes()
 	reply(w, http.StatusOK, s)
 }
 
@@ -187,5 +187,5 @@
 }
 
 func (a *API) audit(w http.ResponseWriter, _ *http.Request) {
-	reply(w, http.StatusOK, a.View.Config().Verdicts())
+	reply(w, http.StatusOK, a.View.Config().Decisions())
 }
--- a/wharfnode/internal/wharfadmin/explain.go
+++ b/wharfnode/internal/wharfadmin/explain.go
@@ -26,7 +26,7 @@
 func (a *API) explain(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
 	if q.Get("service") == "" {
-		reply(w, http.StatusBadRequest, fault{"service-missing", "the parameter service is needed"})
+		reply(w, http.StatusBadRequest, apiError{"service-missing", "the parameter service is needed"})
 		return
 	}
 	method := q.Get("method")
--- a/wharfnode/internal/wharfadmin/quarantine.go
+++ b/wharfnode/internal/wharfadmin/quarantine.go
@@ -23,8 +23,8 @@
 	Target      string `json:"target"`
 	Incarnation uint64 `json:"incarnation"`
 	Number      int    `json:"number"`
-	// Forgiven says that the request has run without harm since.
-	Forgiven bool `json:"forgiven"`
+	// Cleared says that the request has run without harm since.
+	Cleared bool `json:"forgiven"`
 }
 
 func (a *API) quarantine(w http.ResponseWriter, _ *http.Request) {
@@ -41,7 +41,7 @@
 		Quarantined: e.Quarantined, Expires: e.Expires, Crashes: []Crash{},
 	}
 	for _, c := range e.Crashes {
-		s.Crashes = append(s.Crashes, Crash{c.Target, c.Incarnation, c.Number, c.Forgiven})
+		s.Crashes = append(s.Crashes, Crash{c.Target, c.Incarnation, c.Number, c.Cleared})
 	}
 	return s
 }
--- a/wharfnode/internal/wharfentry/attempt.go
+++ b/wharfnode/internal/wharfentry/attempt.go
@@ -31,27 +31,27 @@
 	attemptsLeft int
 	routing      wharfrouting.Result
 	latency      time.Duration
-	report       *wharfrouting.Report
+	report       *wharfrouting.LoadReport
 }
 
 // attempt sends a request to one target and passes its answer on.
-func (e *Entry) attempt(c *call, target wharfrouting.Target, attempts int) attemptResult {
+func (e *Proxy) attempt(c *call, target wharfrouting.Target, attempts int) attemptResult {
 	started := time.Now()
 	result := e.exchange(c, target, attempts)
 	result.latency = time.Since(started)
 	return result
 }
 
-func (e *Entry) exchange(c *call, target wharfrouting.Target, attempts int) attemptResult {
-	watch := e.Hop.Watch(target.NodeAddress)
-	if watch.Silent() {
+func (e *Proxy) exchange(c *call, target wharfrouting.Target, attempts int) attemptResult {
+	watch := e.Transport.Monitor(target.NodeAddress)
+	if watch.Unresponsive() {
 		return notSent(wharfoutcome.ReasonUnreachable, wharfrouting.Unreachable)
 	}
 	ctx, watched := watch.Begin(c.ctx)
 	defer watched.End()
 	x := &transfer{
-		entry: e, call: c, target: target, ctx: ctx, watched: watched,
-		stream: e.Hop.Open(ctx, target.NodeAddress), head: e.head(c, target, attempts),
+		entry: e, call: c, target: target, ctx: ctx, monitored: watched,
+		stream: e.Transport.Open(ctx, target.NodeAddress), head: e.head(c, target, attempts),
 	}
 	if err := x.begin(); err != nil {
 		return x.broken(err)
@@ -65,14 +65,14 @@
 }
 
 // cause says why the context of a request ended.
-func (e *Entry) cause(c *call) wharfoutcome.Reason {
+func (e *Proxy) cause(c *call) wharfoutcome.Reason {
 	if time.Now().Before(c.deadline) {
 		return wharfoutcome.ReasonCancelled
 	}
 	return wharfoutcome.ReasonDeadline
 }
 
-func (e *Entry) head(c *call, target wharfrouting.Target, attempts int) *wharfwire.CallHead {
+func (e *Proxy) head(c *call, target wharfrouting.Target, attempts int) *wharfwire.CallHead {
 	return &wharfwire.CallHead{
 		AttemptId:     rand.Uint64(),
 		RequestId:     c.requestID,
@@ -128,27 +128,27 @@
 	case wharfoutcome.ReasonNoTarget, wharfoutcome.ReasonTargetSilent:
 		return wharfrouting.Unreachable
 	case wharfoutcome.ReasonAnswerLost, wharfoutcome.ReasonAnswerIncomplete:
-		return wharfrouting.Lost
+		return wharfrouting.ResponseLost
 	default:
 		return otherwise
 	}
 }
 
-func reportOf(head *wharfwire.AnswerHead) *wharfrouting.Report {
+func reportOf(head *wharfwire.AnswerHead) *wharfrouting.LoadReport {
 	l := head.GetLoad()
 	if l == nil {
 		return nil
 	}
-	return &wharfrouting.Report{
-		Running:    int(l.GetInFlight()),
-		Queued:     int(l.GetQueued()),
-		Limit:      int(l.GetLimit()),
-		LowestRank: int(l.GetLowestRank()),
-		Room:       int(l.GetRoom()),
-		RouteLevel: wharfadmission.Priority(min(l.GetRouteLevel(), uint32(wharfadmission.LevelOpen))),
-		Internal:   l.GetInternal(),
-		Pressure:   time.Duration(l.GetPressureMs()) * time.Millisecond,
-		RetryAfter: time.Duration(head.GetRetryAfterMs()) * time.Millisecond,
+	return &wharfrouting.LoadReport{
+		Running:     int(l.GetInFlight()),
+		Queued:      int(l.GetQueued()),
+		Limit:       int(l.GetLimit()),
+		LowestRank:  int(l.GetLowestRank()),
+		QueueRoom:   int(l.GetRoom()),
+		RouteLevel:  wharfadmission.Priority(min(l.GetRouteLevel(), uint32(wharfadmission.LevelOpen))),
+		FromService: l.GetInternal(),
+		QueueDelay:  time.Duration(l.GetPressureMs()) * time.Millisecond,
+		RetryAfter:  time.Duration(head.GetRetryAfterMs()) * time.Millisecond,
 	}
 }
 
@@ -162,16 +162,16 @@
 	}
 	if c.ctx.Err() != nil || errors.Is(err, context.DeadlineExceeded) {
 		result.lost = false
-		result.routing = wharfrouting.Withdrawn
+		result.routing = wharfrouting.Cancelled
 		result.outcome = wharfoutcome.Uncertain(x.entry.cause(c))
 		return result
 	}
 	result.outcome = wharfoutcome.Uncertain(wharfoutcome.ReasonAnswerLost)
-	if errors.Is(context.Cause(x.ctx), wharfsilence.ErrSilent) {
+	if errors.Is(context.Cause(x.ctx), wharfsilence.ErrUnresponsive) {
 		// Asking the node what became of the request would take as long again.
 		return result
 	}
-	var broken *wharfhop.BrokenError
+	var broken *wharfhop.AbortedError
 	if errors.As(err, &broken) {
 		return brokenOff(broken.Reason)
 	}
@@ -184,7 +184,7 @@
 // neverSent is the result of an attempt that found no connection.
 func (x *transfer) neverSent() attemptResult {
 	if x.call.ctx.Err() != nil {
-		return notSent(x.entry.cause(x.call), wharfrouting.Withdrawn)
+		return notSent(x.entry.cause(x.call), wharfrouting.Cancelled)
 	}
 	return notSent(wharfoutcome.ReasonUnreachable, wharfrouting.Unreachable)
 }
@@ -194,7 +194,7 @@
 func brokenOff(reason wharfoutcome.Reason) attemptResult {
 	return attemptResult{
 		sent: true, arrived: true, lost: true,
-		routing: routingOf(reason, wharfrouting.Withdrawn), outcome: wharfoutcome.Uncertain(reason),
+		routing: routingOf(reason, wharfrouting.Cancelled), outcome: wharfoutcome.Uncertain(reason),
 	}
 }
 
@@ -211,7 +211,7 @@
 		return o
 	}
 	owner := wharfhome.Owner{Node: member.Node, Incarnation: member.Incarnation, Address: member.Address}
-	entry, err := x.entry.Consulter.Consult(ctx, owner, wharftarget.MintedKey(x.head.GetAttemptId()))
+	entry, err := x.entry.Consulter.Consult(ctx, owner, wharftarget.GeneratedKey(x.head.GetAttemptId()))
 	if err == nil && entry.State == wharfhome.Absent {
 		return wharfoutcome.Refuse(wharfoutcome.ReasonAnswerLost)
 	}
--- a/wharfnode/internal/wharfentry/body.go
+++ b/wharfnode/internal/wharfentry/body.go
@@ -11,9 +11,9 @@
 	"ragwortwharf.dev/wharf/wharfquarantine"
 )
 
-// replayBytes is how much of a body is kept for a second attempt, in bytes. A
+// maxBufferedBody is how much of a body is kept for a second attempt, in bytes. A
 // longer body is streamed and sent once.
-const replayBytes = 64 << 10
+const maxBufferedBody = 64 << 10
 
 // body is the body of a request: the part that is kept, and the rest that
 // still comes from the caller.
@@ -27,15 +27,15 @@
 
 // readBody reads the part of the body that is kept, and finds out whether a
 // short body is complete before anything is sent.
-func (e *Entry) readBody(c *call) (wharfoutcome.Outcome, bool) {
+func (e *Proxy) readBody(c *call) (wharfoutcome.Outcome, bool) {
 	c.body.length = c.r.ContentLength
 	if c.r.Body != nil && c.r.Body != http.NoBody {
-		prefix, err := io.ReadAll(io.LimitReader(c.r.Body, replayBytes))
+		prefix, err := io.ReadAll(io.LimitReader(c.r.Body, maxBufferedBody))
 		if err != nil {
-			return wharfoutcome.Refuse(bodyFault(err)), false
+			return wharfoutcome.Refuse(bodyErrorReason(err)), false
 		}
 		c.body.prefix = prefix
-		if len(prefix) == replayBytes {
+		if len(prefix) == maxBufferedBody {
 			c.body.rest = c.r.Body
 		}
 	}
@@ -43,7 +43,7 @@
 	return wharfoutcome.Outcome{}, true
 }
 
-func bodyFault(err error) wharfoutcome.Reason {
+func bodyErrorReason(err error) wharfoutcome.Reason {
 	if errors.Is(err, io.ErrUnexpectedEOF) {
 		return wharfoutcome.ReasonBodyIncomplete
 	}
--- a/wharfnode/internal/wharfentry/classify.go
+++ b/wharfnode/internal/wharfentry/classify.go
@@ -10,7 +10,7 @@
 )
 
 // classify decides how the request is treated.
-func (e *Entry) classify(c *call) (wharfoutcome.Outcome, bool) {
+func (e *Proxy) classify(c *call) (wharfoutcome.Outcome, bool) {
 	if c.service == "" {
 		if reason := e.route(c); reason != wharfoutcome.ReasonNone {
 			return wharfoutcome.Refuse(reason).WithRetryAfter(unconfiguredRetryAfter), false
@@ -27,7 +27,7 @@
 
 // classifyService decides by the labels of a service that the caller named. It
 // is false for a service that nobody knows.
-func (e *Entry) classifyService(c *call) bool {
+func (e *Proxy) classifyService(c *call) bool {
 	config := e.View.Config()
 	if !config.HasService(c.service) && !e.routes.known(e.View, c.service) {
 		return false
@@ -35,10 +35,10 @@
 	c.policy = config.Classify(wharfconfig.RequestAttributes{
 		Service: c.service, Method: c.r.Method, Path: c.r.URL.Path, Caller: c.caller,
 	})
-	if c.served.Class != "" {
+	if c.parent.Class != "" {
 		// A call made for a user request has the class of that request, so
 		// that the request gets the same verdict at each hop.
-		c.policy.Class = config.Class(c.served.Class)
+		c.policy.Class = config.Class(c.parent.Class)
 	}
 	return true
 }
--- a/wharfnode/internal/wharfentry/entry.go
+++ b/wharfnode/internal/wharfentry/entry.go
@@ -21,35 +21,35 @@
 
 // consulter asks a node about a key, which closes it there.
 type consulter interface {
-	Consult(ctx context.Context, owner wharfhome.Owner, id wharfhome.KeyID) (wharfhome.Entry, error)
+	Consult(ctx context.Context, owner wharfhome.Owner, id wharfhome.KeyID) (wharfhome.KeyEntry, error)
 }
 
-// pressure takes the wait that a call of a target here has met.
-type pressure interface {
+// delayObserver takes the wait that a call of a target here has met.
+type delayObserver interface {
 	Observe(wait time.Duration)
 }
 
-// Entry is the caller's side of a node.
-type Entry struct {
+// Proxy is the caller's side of a node.
+type Proxy struct {
 	View       *wharfview.View
-	Hop        *wharfhop.Client
+	Transport  *wharfhop.Client
 	Ledger     *wharfbudget.Ledger
 	Quarantine *wharfquarantine.List
 	Consulter  consulter
-	// Pressure takes what the calls of the targets here meet.
-	Pressure pressure
-	Dialect  wharfdialect.Callers
+	// Backpressure takes what the calls of the targets here meet.
+	Backpressure delayObserver
+	Protocol     wharfdialect.CallerProtocol
 	// RepeatLimit bounds how often requests reach targets beyond the first time.
 	RepeatLimit wharfbudget.RepeatLimit
 	Variant     wharfsettings.Variant
 	Log         wharfevents.Log
 	Metrics     wharfevents.Metrics
 
-	routes   routes
-	spreads  spreads
-	ratio    wharfbudget.RetryRatio
-	harmless wharfquarantine.Harmless
-	calls    atomic.Int64
+	routes       routes
+	roundRobins  roundRobins
+	retryBudget  wharfbudget.RetryBudget
+	safeRequests wharfquarantine.SafeSet
+	calls        atomic.Int64
 }
 
 // call is a request on its way through the filters.
@@ -60,16 +60,16 @@
 	started  time.Time
 	deadline time.Time
 
-	said      wharfdialect.Request
+	hints     wharfdialect.Request
 	service   string
 	caller    string
 	key       string
 	requestID string
 	depth     int
 	grant     grant
-	// served is the call that the service on this VM was serving when it made
+	// parent is the call that the service on this VM was serving when it made
 	// this one.
-	served   wharfbudget.Entry
+	parent   wharfbudget.ServedCall
 	policy   wharfconfig.Policy
 	priority wharfadmission.Priority
 	body     body
@@ -89,19 +89,19 @@
 
 // filter does one job on a request. It returns the outcome that ends the
 // request, or true to pass it on.
-type filter func(e *Entry, c *call) (wharfoutcome.Outcome, bool)
+type filter func(e *Proxy, c *call) (wharfoutcome.Outcome, bool)
 
 // filters lists the filters in their order.
 var filters = []filter{
-	(*Entry).identify,
-	(*Entry).classify,
-	(*Entry).setDeadline,
-	(*Entry).readBody,
-	(*Entry).checkQuarantine,
+	(*Proxy).identify,
+	(*Proxy).classify,
+	(*Proxy).setDeadline,
+	(*Proxy).readBody,
+	(*Proxy).checkQuarantine,
 }
 
 // ServeHTTP serves one request of a caller or of the service on this VM.
-func (e *Entry) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (e *Proxy) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	e.calls.Add(1)
 	defer e.calls.Add(-1)
 	c := &call{ctx: r.Context(), w: w, r: r, started: time.Now()}
@@ -118,7 +118,7 @@
 }
 
 // refuse answers a request that ended without an answer of a target.
-func (e *Entry) refuse(c *call, o wharfoutcome.Outcome) {
+func (e *Proxy) refuse(c *call, o wharfoutcome.Outcome) {
 	if status := o.HTTPStatus(); status >= http.StatusBadRequest && status < http.StatusInternalServerError {
 		e.Log.Emit(wharfevents.BadRequest,
 			wharfevents.Field{Name: "request", Value: c.requestID},
@@ -126,13 +126,13 @@
 			wharfevents.Field{Name: "caller", Value: c.caller},
 			wharfevents.Field{Name: "service", Value: c.service})
 	} else {
-		e.explainUnserved(c, o)
+		e.logUnserved(c, o)
 	}
 	e.Metrics.Call(c.policy.Class.Name, o, time.Since(c.started))
-	e.Dialect.Refuse(c.w, o)
+	e.Protocol.Refuse(c.w, o)
 }
 
 // Calls returns the number of requests in flight.
-func (e *Entry) Calls() int {
+func (e *Proxy) Calls() int {
 	return int(e.calls.Load())
 }
--- a/wharfnode/internal/wharfentry/explain.go
+++ b/wharfnode/internal/wharfentry/explain.go
@@ -9,7 +9,7 @@
 )
 
 // fields are what each line on a request says.
-func (e *Entry) fields(c *call) []wharfevents.Field {
+func (e *Proxy) fields(c *call) []wharfevents.Field {
 	return []wharfevents.Field{
 		{Name: "request", Value: c.requestID},
 		{Name: "route", Value: c.route()},
@@ -20,9 +20,9 @@
 	}
 }
 
-// explainServed writes the line of a request that has its answer.
-func (e *Entry) explainServed(c *call, target wharfrouting.Target, status int) {
-	if !e.Log.Wants(wharfevents.RequestServed) {
+// logServed writes the line of a request that has its answer.
+func (e *Proxy) logServed(c *call, target wharfrouting.Target, status int) {
+	if !e.Log.Enabled(wharfevents.RequestServed) {
 		return
 	}
 	e.Log.Emit(wharfevents.RequestServed, append(e.fields(c),
@@ -32,10 +32,10 @@
 		wharfevents.Field{Name: "tries", Value: c.tries})...)
 }
 
-// explainUnserved writes the line of a request that ended without an answer,
+// logUnserved writes the line of a request that ended without an answer,
 // with the versions of what decided it.
-func (e *Entry) explainUnserved(c *call, o wharfoutcome.Outcome) {
-	if !e.Log.Wants(wharfevents.RequestUnserved) {
+func (e *Proxy) logUnserved(c *call, o wharfoutcome.Outcome) {
+	if !e.Log.Enabled(wharfevents.RequestUnserved) {
 		return
 	}
 	state := e.View.State()
@@ -48,12 +48,12 @@
 		wharfevents.Field{Name: "deadline-ms", Value: c.deadline.Sub(c.started).Milliseconds()},
 		wharfevents.Field{Name: "routes-version", Value: state.Routes().Version()},
 		wharfevents.Field{Name: "state-offset", Value: state.Offset()},
-		wharfevents.Field{Name: "state-age-ms", Value: time.Since(e.View.Fresh()).Milliseconds()})...)
+		wharfevents.Field{Name: "state-age-ms", Value: time.Since(e.View.ConfirmedAt()).Milliseconds()})...)
 }
 
-// explainAttempt writes the line of an attempt that brought no answer.
-func (e *Entry) explainAttempt(c *call, target wharfrouting.Target, r attemptResult) {
-	if !e.Log.Wants(wharfevents.AttemptFailed) {
+// logAttempt writes the line of an attempt that brought no answer.
+func (e *Proxy) logAttempt(c *call, target wharfrouting.Target, r attemptResult) {
+	if !e.Log.Enabled(wharfevents.AttemptFailed) {
 		return
 	}
 	e.Log.Emit(wharfevents.AttemptFailed, append(e.fields(c),
--- a/wharfnode/internal/wharfentry/grant.go
+++ b/wharfnode/internal/wharfentry/grant.go
@@ -10,13 +10,13 @@
 type grant interface {
 	// take spends one attempt and returns the part handed down.
 	take() (handedDown int, ok bool)
-	// giveBack returns what the answer brought back.
-	giveBack(handedDown, returned int)
-	// undo takes back an attempt that was never sent.
-	undo(handedDown int)
+	// refundUnused returns what the answer brought back.
+	refundUnused(handedDown, returned int)
+	// refund takes back an attempt that was never sent.
+	refund(handedDown int)
 	// begin and end frame the request and record what it has met.
 	begin()
-	end(m wharfbudget.Met)
+	end(m wharfbudget.DownstreamResult)
 }
 
 // rootGrant is the grant of a user request that begins here.
@@ -29,17 +29,17 @@
 	return handedDown, ok
 }
 
-func (g *rootGrant) giveBack(handedDown, returned int) {
+func (g *rootGrant) refundUnused(handedDown, returned int) {
 	g.grant = g.grant.WithReturned(handedDown, returned)
 }
 
-func (g *rootGrant) undo(handedDown int) {
-	g.grant = g.grant.WithUndone(handedDown)
+func (g *rootGrant) refund(handedDown int) {
+	g.grant = g.grant.WithRefund(handedDown)
 }
 
 func (g *rootGrant) begin() {}
 
-func (g *rootGrant) end(wharfbudget.Met) {}
+func (g *rootGrant) end(wharfbudget.DownstreamResult) {}
 
 // ledgerGrant is the grant of a call that the service on this VM serves.
 type ledgerGrant struct {
@@ -51,18 +51,18 @@
 	return g.ledger.Take(g.id)
 }
 
-func (g *ledgerGrant) giveBack(handedDown, returned int) {
+func (g *ledgerGrant) refundUnused(handedDown, returned int) {
 	g.ledger.Return(g.id, handedDown, returned)
 }
 
-func (g *ledgerGrant) undo(handedDown int) {
-	g.ledger.Undo(g.id, handedDown)
+func (g *ledgerGrant) refund(handedDown int) {
+	g.ledger.Refund(g.id, handedDown)
 }
 
 func (g *ledgerGrant) begin() {
 	g.ledger.CallBegins(time.Now(), g.id)
 }
 
-func (g *ledgerGrant) end(m wharfbudget.Met) {
+func (g *ledgerGrant) end(m wharfbudget.DownstreamResult) {
 	g.ledger.CallEnds(time.Now(), g.id, m)
 }
--- a/wharfnode/internal/wharfentry/identify.go
+++ b/wharfnode/internal/wharfentry/identify.go
@@ -12,9 +12,9 @@
 
 // identify finds out which service is called, by whom, and on behalf of which
 // user request.
-func (e *Entry) identify(c *call) (wharfoutcome.Outcome, bool) {
-	said, reason := e.Dialect.Identify(c.r)
-	c.said, c.service, c.caller, c.key = said, said.Service, said.Caller, said.Key
+func (e *Proxy) identify(c *call) (wharfoutcome.Outcome, bool) {
+	said, reason := e.Protocol.Identify(c.r)
+	c.hints, c.service, c.caller, c.key = said, said.Service, said.Caller, said.Key
 	if reason != wharfoutcome.ReasonNone {
 		return wharfoutcome.Refuse(reason), false
 	}
@@ -31,7 +31,7 @@
 
 // continueRequest ties a call of the service on this VM to the call that the
 // service is serving.
-func (e *Entry) continueRequest(c *call, text string) (wharfoutcome.Outcome, bool) {
+func (e *Proxy) continueRequest(c *call, text string) (wharfoutcome.Outcome, bool) {
 	parsed, err := wharfwire.ParseContext(text)
 	if err != nil {
 		return wharfoutcome.Refuse(wharfoutcome.ReasonMalformedContext), false
@@ -45,7 +45,7 @@
 	if served.Depth > wharfwire.MaxDepth {
 		return wharfoutcome.Refuse(wharfoutcome.ReasonDepthExceeded), false
 	}
-	c.requestID, c.depth, c.served = served.Request, served.Depth, served
+	c.requestID, c.depth, c.parent = served.Request, served.Depth, served
 	c.grant = &ledgerGrant{ledger: e.Ledger, id: id}
 	return wharfoutcome.Outcome{}, true
 }
--- a/wharfnode/internal/wharfentry/quarantine.go
+++ b/wharfnode/internal/wharfentry/quarantine.go
@@ -8,7 +8,7 @@
 )
 
 // checkQuarantine refuses a request that crashes targets.
-func (e *Entry) checkQuarantine(c *call) (wharfoutcome.Outcome, bool) {
+func (e *Proxy) checkQuarantine(c *call) (wharfoutcome.Outcome, bool) {
 	left, refused := e.Quarantine.Quarantined(time.Now(), c.fingerprint)
 	if refused {
 		return wharfoutcome.Refuse(wharfoutcome.ReasonQuarantined).WithRetryAfter(left), false
@@ -16,22 +16,22 @@
 	return wharfoutcome.Outcome{}, true
 }
 
-// confinement bounds the targets that a request may run on until it is known to
+// exposureLimit bounds the targets that a request may run on until it is known to
 // crash none.
-func (s *sending) confinement() wharfrouting.Confinement {
+func (s *sending) exposureLimit() wharfrouting.ExposureLimit {
 	e, fp := s.entry, s.call.fingerprint
 	suspicion, suspected := e.Quarantine.Suspicion(time.Now(), fp)
-	if !suspected && e.harmless.Has(fp) {
-		return wharfrouting.Confinement{}
+	if !suspected && e.safeRequests.Has(fp) {
+		return wharfrouting.ExposureLimit{}
 	}
-	return wharfrouting.Confinement{
+	return wharfrouting.ExposureLimit{
 		Fingerprint: uint64(fp),
 		Crashed:     append(suspicion.Targets(), s.mayHaveCrashed...),
 	}
 }
 
-// exonerate remembers that a request has run without harm.
-func (e *Entry) exonerate(c *call) {
-	e.harmless.Add(c.fingerprint)
-	_, _ = e.Quarantine.Succeeded(time.Now(), c.fingerprint)
+// markSafe remembers that a request has run without harm.
+func (e *Proxy) markSafe(c *call) {
+	e.safeRequests.Add(c.fingerprint)
+	_, _ = e.Quarantine.RecordSuccess(time.Now(), c.fingerprint)
 }
