--- a/wharfnode/internal/wharfentry/respond.go
+++ b/wharfnode/internal/wharfentry/respond.go
@@ -14,10 +14,10 @@
 	"ragwortwharf.dev/wharfnode/wharfevents"
 )
 
-// wholeBytes is the size up to which an answer is held back until it is known
+// maxBufferedResponse is the size up to which an answer is held back until it is known
 // to be whole, in bytes. A longer one is streamed, and cut off so that the
 // caller notices if it doesn't come whole.
-const wholeBytes = 256 << 10
+const maxBufferedResponse = 256 << 10
 
 var errSumMismatch = errors.New("length or checksum of the answer differ")
 
@@ -30,7 +30,7 @@
 	}
 	if head.GetStatus() >= http.StatusInternalServerError {
 		// Such an answer comes quicker than a good one, and must not draw work.
-		result.routing = wharfrouting.Lost
+		result.routing = wharfrouting.ResponseLost
 	}
 	held := answerBody{stream: x.stream}
 	for end, err := held.take(frame); ; end, err = held.next() {
@@ -43,7 +43,7 @@
 			_, _ = x.call.w.Write(held.Bytes())
 			return x.delivered(result, int(head.GetStatus()))
 		}
-		if held.Len() > wholeBytes {
+		if held.Len() > maxBufferedResponse {
 			break
 		}
 	}
@@ -88,7 +88,7 @@
 func (x *transfer) brokenAnswer(err error, head *wharfwire.AnswerHead) attemptResult {
 	x.entry.Log.Emit(wharfevents.AnswerIncomplete,
 		wharfevents.Field{Name: "target", Value: x.target.Address},
-		wharfevents.Cause(err))
+		wharfevents.ErrorField(err))
 	result := x.broken(err)
 	result.report = reportOf(head)
 	if result.outcome.Kind == wharfoutcome.Unknown && result.outcome.Reason == wharfoutcome.ReasonAnswerLost {
@@ -121,7 +121,7 @@
 func (x *transfer) writeHead(head *wharfwire.AnswerHead, length int64) {
 	h := x.call.w.Header()
 	wharfwire.UnpackHeaders(h, head.GetHeaders())
-	x.entry.Dialect.Complete(h)
+	x.entry.Protocol.SetResponseHeaders(h)
 	if length >= 0 && bodyAllowed(x.call.r.Method, int(head.GetStatus())) {
 		h.Set("Content-Length", strconv.FormatInt(length, 10))
 	}
@@ -139,6 +139,6 @@
 	result.answered = true
 	c := x.call
 	x.entry.Metrics.Call(c.policy.Class.Name, result.outcome, time.Since(c.started))
-	x.entry.explainServed(c, x.target, status)
+	x.entry.logServed(c, x.target, status)
 	return result
 }
--- a/wharfnode/internal/wharfentry/route.go
+++ b/wharfnode/internal/wharfentry/route.go
@@ -22,7 +22,7 @@
 
 // route decides by the routes which service a request goes to and how it is
 // treated.
-func (e *Entry) route(c *call) wharfoutcome.Reason {
+func (e *Proxy) route(c *call) wharfoutcome.Reason {
 	table := e.View.State().Routes()
 	if table == nil {
 		return wharfoutcome.ReasonNotConfigured
@@ -31,7 +31,7 @@
 	if r == nil {
 		return wharfoutcome.ReasonUnknownRoute
 	}
-	c.service = e.spreads.next(r)
+	c.service = e.roundRobins.next(r)
 	c.policy = policyOf(r)
 	return wharfoutcome.ReasonNone
 }
@@ -49,24 +49,24 @@
 	}
 }
 
-// spreads deals the requests of each route to its services. The zero spreads is
+// roundRobins deals the requests of each route to its services. The zero roundRobins is
 // empty.
-type spreads struct {
+type roundRobins struct {
 	routes sync.Map
 }
 
-// spread is that of one route under its own lock.
-type spread struct {
+// lockedRoundRobin is that of one route under its own lock.
+type lockedRoundRobin struct {
 	mu sync.Mutex
-	wharfroute.Spread
+	wharfroute.WeightedRoundRobin
 }
 
-func (s *spreads) next(r *wharfroute.Route) string {
-	if len(r.Shares) == 1 {
-		return r.Shares[0].Service
+func (s *roundRobins) next(r *wharfroute.Route) string {
+	if len(r.Services) == 1 {
+		return r.Services[0].Service
 	}
-	found, _ := s.routes.LoadOrStore(r.Name, &spread{})
-	one := found.(*spread)
+	found, _ := s.routes.LoadOrStore(r.Name, &lockedRoundRobin{})
+	one := found.(*lockedRoundRobin)
 	one.mu.Lock()
 	defer one.mu.Unlock()
 	return one.Next(r)
--- a/wharfnode/internal/wharfentry/routes.go
+++ b/wharfnode/internal/wharfentry/routes.go
@@ -23,7 +23,7 @@
 	service  string
 	mu       sync.Mutex
 	balancer *wharfrouting.Balancer
-	repeats  wharfbudget.Repeats
+	repeats  wharfbudget.RepeatCounter
 	version  uint64
 	loaded   bool
 }
@@ -32,7 +32,7 @@
 	if r, ok := s.services.Load(service); ok {
 		return r.(*route)
 	}
-	fresh := &route{service: service, balancer: wharfrouting.NewBalancer(v.Place())}
+	fresh := &route{service: service, balancer: wharfrouting.NewBalancer(v.Locality())}
 	r, _ := s.services.LoadOrStore(service, fresh)
 	return r.(*route)
 }
@@ -69,7 +69,7 @@
 }
 
 // observe takes the result of an attempt.
-func (r *route) observe(address, kind string, result wharfrouting.Result, latency time.Duration, report *wharfrouting.Report) {
+func (r *route) observe(address, kind string, result wharfrouting.Result, latency time.Duration, report *wharfrouting.LoadReport) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.balancer.Observe(time.Now(), address, kind, result, latency, report)
@@ -81,7 +81,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := time.Now()
-	return !r.balancer.HoldsLowerWork(now, q) && !r.balancer.HasRoom(now, q)
+	return !r.balancer.HasLowerPriorityQueued(now, q) && !r.balancer.HasCapacity(now, q)
 }
 
 // begin counts a request for the service.
@@ -98,9 +98,9 @@
 	return r.repeats.Allow(time.Now(), l, nodes)
 }
 
-// closed returns how far the level of the service for a kind of request is
+// levelReduction returns how far the level of the service for a kind of request is
 // from an open one.
-func (r *route) closed(kind string) uint16 {
+func (r *route) levelReduction(kind string) uint16 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return uint16(wharfadmission.LevelOpen - r.balancer.Level(time.Now(), kind))
@@ -114,7 +114,7 @@
 }
 
 // Ejected lists the targets of all services that are left out at present.
-func (e *Entry) Ejected() []string {
+func (e *Proxy) Ejected() []string {
 	out := []string{}
 	e.routes.services.Range(func(_, r any) bool {
 		out = append(out, r.(*route).ejected()...)
--- a/wharfnode/internal/wharfentry/send.go
+++ b/wharfnode/internal/wharfentry/send.go
@@ -14,12 +14,12 @@
 // plainTries is the number of tries at each hop of the baseline variant.
 const plainTries = 3
 
-// homeTries is the number of tries at the home of a key.
-const homeTries = 3
+// ownerTries is the number of tries at the home of a key.
+const ownerTries = 3
 
 // sending is the state of a request over its attempts.
 type sending struct {
-	entry *Entry
+	entry *Proxy
 	call  *call
 	route *route
 	tried []string
@@ -35,7 +35,7 @@
 }
 
 // send makes attempts until the request has its final outcome.
-func (e *Entry) send(c *call) {
+func (e *Proxy) send(c *call) {
 	s := &sending{entry: e, call: c, route: e.routes.get(e.View, c.service)}
 	c.grant.begin()
 	defer s.end()
@@ -62,10 +62,10 @@
 
 // end records what the request has met for the call that it was made for.
 func (s *sending) end() {
-	s.call.grant.end(wharfbudget.Met{
-		Retried: s.call.tries > 1 && !s.last.answered,
-		Refused: !s.last.answered,
-		Closed:  s.route.closed(s.call.route()),
+	s.call.grant.end(wharfbudget.DownstreamResult{
+		Retried:        s.call.tries > 1 && !s.last.answered,
+		Refused:        !s.last.answered,
+		LevelReduction: s.route.levelReduction(s.call.route()),
 	})
 }
 
@@ -79,13 +79,13 @@
 	}
 	request, refused := s.request()
 	if refused != wharfoutcome.ReasonNone {
-		c.grant.undo(down)
-		s.fail(wharfoutcome.Refuse(refused).WithRetryAfter(homeRetryAfter))
+		c.grant.refund(down)
+		s.fail(wharfoutcome.Refuse(refused).WithRetryAfter(ownerRetryAfter))
 		return false
 	}
 	target, o := s.route.pick(e.View, request)
 	if target.Address == "" {
-		c.grant.undo(down)
+		c.grant.refund(down)
 		s.fail(o)
 		return false
 	}
@@ -100,7 +100,7 @@
 	if s.last.answered {
 		return false
 	}
-	e.explainAttempt(c, target, s.last)
+	e.logAttempt(c, target, s.last)
 	return s.mayRetry(request)
 }
 
@@ -113,8 +113,8 @@
 	s.last = attemptResult{outcome: o}
 }
 
-// homeRetryAfter is the advice when the home of a key isn't known or reached.
-const homeRetryAfter = 500 * time.Millisecond
+// ownerRetryAfter is the advice when the home of a key isn't known or reached.
+const ownerRetryAfter = 500 * time.Millisecond
 
 // request describes the request to routing. A request that must take effect at
 // most once goes to the home of its key and nowhere else.
@@ -125,52 +125,52 @@
 		Tried: s.tried, IgnoreLevels: !s.entry.Variant.Levels,
 	}
 	if c.policy.Idempotent || c.key == "" {
-		r.Confinement = s.confinement()
+		r.ExposureLimit = s.exposureLimit()
 		return r, wharfoutcome.ReasonNone
 	}
-	owner, ok := s.entry.View.Homes().Table.Owner(c.service, c.key)
+	owner, ok := s.entry.View.Ownership().Table.Owner(c.service, c.key)
 	if !ok {
 		return r, wharfoutcome.ReasonHomeUnreachable
 	}
 	// The home recognises a resend, so it may be asked again.
-	r.Only, r.Tried = owner.Node, nil
+	r.PinnedNode, r.Tried = owner.Node, nil
 	return r, wharfoutcome.ReasonNone
 }
 
 func (s *sending) observe(target wharfrouting.Target, down int) {
 	s.route.observe(target.Address, s.call.route(), s.last.routing, s.last.latency, s.last.report)
-	s.observePressure()
+	s.observeQueueDelay()
 	if s.last.sent {
-		s.call.grant.giveBack(down, s.last.attemptsLeft)
+		s.call.grant.refundUnused(down, s.last.attemptsLeft)
 	} else {
-		s.call.grant.undo(down)
+		s.call.grant.refund(down)
 	}
 	if s.last.outcome.Reason == wharfoutcome.ReasonSuspected {
 		// The target's node knows of a crash that this one hasn't heard of.
-		s.entry.harmless.Remove(s.call.fingerprint)
+		s.entry.safeRequests.Remove(s.call.fingerprint)
 	}
 	switch s.last.outcome.Kind {
 	case wharfoutcome.Completed:
-		s.entry.ratio.Success()
-		s.entry.exonerate(s.call)
+		s.entry.retryBudget.Success()
+		s.entry.markSafe(s.call)
 	case wharfoutcome.Unknown:
 		s.uncertain, s.mayHaveRun = s.last.outcome, true
 		s.mayHaveCrashed = append(s.mayHaveCrashed, target.Address)
 	}
 }
 
-// observePressure notes the wait that a call of the target here has met. One that
+// observeQueueDelay notes the wait that a call of the target here has met. One that
 // was turned away met the longest.
-func (s *sending) observePressure() {
+func (s *sending) observeQueueDelay() {
 	report := s.last.report
-	if report == nil || !report.Internal && s.call.depth == 0 {
+	if report == nil || !report.FromService && s.call.depth == 0 {
 		return
 	}
 	switch s.last.outcome.Reason {
 	case wharfoutcome.ReasonOverload, wharfoutcome.ReasonOverloadBelow, wharfoutcome.ReasonDeadline:
-		s.entry.Pressure.Observe(wharfadmission.MaxPressure)
+		s.entry.Backpressure.Observe(wharfadmission.MaxQueueDelay)
 	default:
-		s.entry.Pressure.Observe(report.Pressure)
+		s.entry.Backpressure.Observe(report.QueueDelay)
 	}
 }
 
@@ -184,29 +184,29 @@
 		safe := c.policy.Idempotent || s.last.outcome.Kind == wharfoutcome.NotRun
 		return safe && s.call.tries < plainTries && !c.body.restSent
 	}
-	if request.Only != "" && s.call.tries >= homeTries || c.policy.Targets > 0 && s.arrivals >= c.policy.Targets {
+	if request.PinnedNode != "" && s.call.tries >= ownerTries || c.policy.Targets > 0 && s.arrivals >= c.policy.Targets {
 		return false
 	}
-	if request.Only == "" {
+	if request.PinnedNode == "" {
 		request.Tried = s.tried
 	}
 	reason := s.last.outcome.Reason
 	f := wharfbudget.Failure{
 		Outcome: s.last.outcome,
 		// Asking the home of a key again is safe: it runs the key once.
-		Idempotent:     c.policy.Idempotent || request.Only != "" && s.last.lost,
-		Retried:        s.last.retried,
-		BodyGone:       c.body.restSent,
-		Suspected:      reason == wharfoutcome.ReasonTargetCrashed || s.suspected(),
-		ServiceRefuses: reason == wharfoutcome.ReasonOverload && s.route.serviceRefuses(request),
+		Idempotent:    c.policy.Idempotent || request.PinnedNode != "" && s.last.lost,
+		Retried:       s.last.retried,
+		BodyConsumed:  c.body.restSent,
+		Suspected:     reason == wharfoutcome.ReasonTargetCrashed || s.suspected(),
+		NoAlternative: reason == wharfoutcome.ReasonOverload && s.route.serviceRefuses(request),
 	}
-	return wharfbudget.MayRetry(f) && s.entry.ratio.Allow() && s.mayRepeat()
+	return wharfbudget.MayRetry(f) && s.entry.retryBudget.Allow() && s.mayRepeat()
 }
 
 // mayRepeat takes a repeat from the limit if a target may have received the
 // request. What only nodes have refused reaches a target for the first time.
 func (s *sending) mayRepeat() bool {
-	return s.arrivals == 0 || s.route.mayRepeat(s.entry.RepeatLimit, s.entry.View.NodesSeen())
+	return s.arrivals == 0 || s.route.mayRepeat(s.entry.RepeatLimit, s.entry.View.KnownNodes())
 }
 
 func (s *sending) suspected() bool {
--- a/wharfnode/internal/wharfentry/transfer.go
+++ b/wharfnode/internal/wharfentry/transfer.go
@@ -16,15 +16,15 @@
 
 // transfer is one attempt under way.
 type transfer struct {
-	entry  *Entry
+	entry  *Proxy
 	call   *call
 	target wharfrouting.Target
 	stream wharfhop.Exchange
 	head   *wharfwire.CallHead
-	// ctx is that of the stream, and watched tells whether the node answers.
-	ctx     context.Context
-	watched *wharfsilence.Call
-	sum     wharfwire.BodySum
+	// ctx is that of the stream, and monitored tells whether the node answers.
+	ctx       context.Context
+	monitored *wharfsilence.Call
+	sum       wharfwire.BodySum
 	// upload ends when the rest of a long body was sent.
 	upload *upload
 }
@@ -78,7 +78,7 @@
 		if err != nil {
 			return x.broken(err)
 		}
-		x.watched.Heard()
+		x.monitored.RecordResponse()
 		if frame.GetAdmitted() != nil {
 			x.startUpload()
 			continue
--- a/wharfnode/internal/wharfhop/client.go
+++ b/wharfnode/internal/wharfhop/client.go
@@ -30,25 +30,25 @@
 	maxIdleConns = 256
 )
 
-// BrokenError says that the target's node ended an answer early.
-type BrokenError struct {
+// AbortedError says that the target's node ended an answer early.
+type AbortedError struct {
 	Reason wharfoutcome.Reason
 }
 
 // Error returns the reason.
-func (e *BrokenError) Error() string {
+func (e *AbortedError) Error() string {
 	return "answer broken off: " + string(e.Reason)
 }
 
 // Client sends calls to other nodes. The zero Client is ready to use.
 type Client struct {
-	// Own is the address by which others reach this node, and Receiver what
+	// SelfAddress is the address by which others reach this node, and Receiver what
 	// serves its calls. Calls to itself don't leave the process.
-	Own      string
-	Receiver Receiver
-	Log      wharfevents.Log
+	SelfAddress string
+	Receiver    Receiver
+	Log         wharfevents.Log
 
-	watches   sync.Map
+	monitors  sync.Map
 	once      sync.Once
 	transport *http.Transport
 }
@@ -65,19 +65,19 @@
 	Sent() bool
 }
 
-// Watch returns what watches the calls to an address.
-func (c *Client) Watch(address string) *wharfsilence.Watch {
-	if w, ok := c.watches.Load(address); ok {
-		return w.(*wharfsilence.Watch)
+// Monitor returns what watches the calls to an address.
+func (c *Client) Monitor(address string) *wharfsilence.Monitor {
+	if w, ok := c.monitors.Load(address); ok {
+		return w.(*wharfsilence.Monitor)
 	}
-	w, _ := c.watches.LoadOrStore(address, &wharfsilence.Watch{
-		Address: address, Changed: func(silent bool) { c.changed(address, silent) },
+	w, _ := c.monitors.LoadOrStore(address, &wharfsilence.Monitor{
+		Address: address, OnChange: func(silent bool) { c.onLivenessChange(address, silent) },
 	})
-	return w.(*wharfsilence.Watch)
+	return w.(*wharfsilence.Monitor)
 }
 
-// changed takes note of a node that has fallen silent or answers again.
-func (c *Client) changed(address string, silent bool) {
+// onLivenessChange takes note of a node that has fallen silent or answers again.
+func (c *Client) onLivenessChange(address string, silent bool) {
 	event := wharfevents.NodeAnswers
 	if silent {
 		event = wharfevents.NodeSilent
@@ -87,7 +87,7 @@
 
 // Open begins a call to the node at an address. It ends with its context.
 func (c *Client) Open(ctx context.Context, address string) Exchange {
-	if address == c.Own && c.Receiver != nil {
+	if address == c.SelfAddress && c.Receiver != nil {
 		return newLocal(ctx, c.Receiver)
 	}
 	return &exchange{client: c, ctx: ctx, address: address, body: buffers.Get().(*bytes.Buffer)}
@@ -165,7 +165,7 @@
 	}
 	if f.GetBroken() != "" {
 		x.finish()
-		return nil, &BrokenError{wharfoutcome.Reason(f.GetBroken())}
+		return nil, &AbortedError{wharfoutcome.Reason(f.GetBroken())}
 	}
 	if f.GetEnd() != nil {
 		x.finish()
--- a/wharfnode/internal/wharfhop/hop_test.go
+++ b/wharfnode/internal/wharfhop/hop_test.go
@@ -157,11 +157,11 @@
 		})
 	}
 	broken := func(s Stream, _ *wharfwire.CallFrame) error {
-		return &BrokenError{wharfoutcome.ReasonTargetCrashed}
+		return &AbortedError{wharfoutcome.ReasonTargetCrashed}
 	}
 	brokenLater := func(s Stream, _ *wharfwire.CallFrame) error {
 		_ = s.Send(&wharfwire.AnswerFrame{Head: &wharfwire.AnswerHead{AttemptId: 7}})
-		return &BrokenError{wharfoutcome.ReasonTargetCrashed}
+		return &AbortedError{wharfoutcome.ReasonTargetCrashed}
 	}
 	tests := []struct {
 		name   string
@@ -183,7 +183,7 @@
 				_, address := startNode(t, r)
 				c := &Client{}
 				if way == "process" {
-					c = &Client{Own: address, Receiver: r}
+					c = &Client{SelfAddress: address, Receiver: r}
 				}
 				ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 				defer cancel()
@@ -208,7 +208,7 @@
 				for err == nil && f.GetEnd() == nil {
 					f, err = x.Recv()
 				}
-				var b *BrokenError
+				var b *AbortedError
 				if tc.broken {
 					is.True(err != nil)
 					is.True(errors.As(err, &b))
--- a/wharfnode/internal/wharfhop/server.go
+++ b/wharfnode/internal/wharfhop/server.go
@@ -29,10 +29,10 @@
 	if err == nil {
 		return
 	}
-	var broken *BrokenError
+	var broken *AbortedError
 	switch {
 	case errors.As(err, &broken):
-		s.breakOff(broken)
+		s.abort(broken)
 	case s.wrote:
 		panic(http.ErrAbortHandler)
 	default:
@@ -101,8 +101,8 @@
 	return http.NewResponseController(s.w).Flush()
 }
 
-// breakOff ends an answer early and says why.
-func (s *serverStream) breakOff(broken *BrokenError) {
+// abort ends an answer early and says why.
+func (s *serverStream) abort(broken *AbortedError) {
 	if s.Send(&wharfwire.AnswerFrame{Broken: string(broken.Reason)}) != nil {
 		panic(http.ErrAbortHandler)
 	}
--- a/wharfnode/internal/wharfmesh/audit.go
+++ b/wharfnode/internal/wharfmesh/audit.go
@@ -45,7 +45,7 @@
 
 // Audit records an act of this node. When too many wait, the act is only in
 // the log of the process.
-func (m *Mesh) Audit(act string, details ...wharfevents.Field) {
+func (m *Agent) Audit(act string, details ...wharfevents.Field) {
 	entry := AuditEntry{Time: time.Now(), Node: m.View.Node(), Act: act}
 	for _, d := range details {
 		entry.Details = append(entry.Details, AuditDetail{d.Name, fmt.Sprint(d.Value)})
@@ -59,11 +59,11 @@
 
 // auditWriter appends acts to the audit stream, several in one record.
 type auditWriter struct {
-	mesh  *Mesh
+	mesh  *Agent
 	queue <-chan AuditEntry
 }
 
-func (t *auditTrail) writer(m *Mesh) *auditWriter {
+func (t *auditTrail) writer(m *Agent) *auditWriter {
 	return &auditWriter{mesh: m, queue: t.queue}
 }
 
@@ -124,6 +124,6 @@
 		return err
 	}
 	_, err = w.mesh.Platform.Append(ctx, wharfstate.AuditStream, data)
-	w.mesh.Metrics.Appends(wharfstate.AuditStream, resultName(err))
+	w.mesh.Metrics.LogAppend(wharfstate.AuditStream, resultName(err))
 	return err
 }
--- a/wharfnode/internal/wharfmesh/audit_test.go
+++ b/wharfnode/internal/wharfmesh/audit_test.go
@@ -30,7 +30,7 @@
 func TestLastAppendIsShort(t *testing.T) {
 	is := is.New(t)
 	log := &deadlineLog{}
-	m := &Mesh{Platform: log}
+	m := &Agent{Platform: log}
 	m.Prepare()
 	m.audit.queue <- AuditEntry{Act: "node-leaving"}
 	m.audit.writer(m).flush()
--- a/wharfnode/internal/wharfmesh/follower.go
+++ b/wharfnode/internal/wharfmesh/follower.go
@@ -34,7 +34,7 @@
 
 // follower reads the platform's log when that is this node's role.
 type follower struct {
-	mesh   *Mesh
+	mesh   *Agent
 	rng    *rand.Rand
 	failed bool
 	// version and reader are the role for a version of the view.
@@ -64,10 +64,10 @@
 	if f.isReader() {
 		return true
 	}
-	if time.Since(f.mesh.View.Fresh()) < staleAfter {
+	if time.Since(f.mesh.View.ConfirmedAt()) < staleAfter {
 		return false
 	}
-	size := f.mesh.View.NodesSeen()
+	size := f.mesh.View.KnownNodes()
 	// Of n nodes that are all stale, about one reads in each interval.
 	chance := float64(roleInterval) / (float64(staleShare) * float64(max(size, 1)))
 	return f.rng.Float64() < chance
@@ -86,9 +86,9 @@
 }
 
 // readers returns the nodes that read the log for this failure domain.
-func (m *Mesh) readers() []string {
+func (m *Agent) readers() []string {
 	var first []string
-	domain := m.View.Place().FailureDomain
+	domain := m.View.Locality().FailureDomain
 	m.View.Members(func(t *wharfmember.Table) {
 		for _, node := range t.InDomain(domain) {
 			member, _ := t.Get(node)
@@ -125,23 +125,23 @@
 	if err != nil {
 		return err
 	}
-	f.take(batch)
+	f.applyBatch(batch)
 	if v.State().Offset()+1 >= batch.Next {
-		v.ConfirmFresh(batch.Next-1, asked)
+		v.Confirm(batch.Next-1, asked)
 	}
 	return nil
 }
 
-// take folds the records of a batch. Behind a gap they are collected until one
+// applyBatch folds the records of a batch. Behind a gap they are collected until one
 // of them is a snapshot.
-func (f *follower) take(batch wharfstream.Batch) {
+func (f *follower) applyBatch(batch wharfstream.Batch) {
 	records := batch.Records
 	if f.from > f.mesh.View.State().Offset()+1 {
 		f.pending = append(f.pending, records...)
 		records = f.pending
 		f.from += uint64(len(batch.Records))
 	}
-	f.mesh.takeRecords(records)
+	f.mesh.applyRecords(records)
 	if f.mesh.View.State().Offset()+1 >= f.from {
 		f.from, f.pending = 0, nil
 	}
@@ -154,7 +154,7 @@
 	}
 	f.failed = err != nil
 	if f.failed {
-		f.mesh.Log.Emit(wharfevents.LogUnavailable, wharfevents.Cause(err))
+		f.mesh.Log.Emit(wharfevents.LogUnavailable, wharfevents.ErrorField(err))
 		return
 	}
 	f.mesh.Log.Emit(wharfevents.LogAvailable)
--- a/wharfnode/internal/wharfmesh/mesh.go
+++ b/wharfnode/internal/wharfmesh/mesh.go
@@ -39,17 +39,17 @@
 	callTimeout = time.Second
 )
 
-// Mesh ties a node to the others and to the platform's log.
-type Mesh struct {
+// Agent ties a node to the others and to the platform's log.
+type Agent struct {
 	View       *wharfview.View
 	Peers      *wharfpeers.Pool
 	Platform   logClient
 	Registry   *wharftarget.Registry
 	Quarantine *wharfquarantine.List
-	Keys       *wharfhome.Keys
+	Keys       *wharfhome.KeyStore
 	Directory  directory
-	// KeepsKeys says that this node is a home of keys that callers chose.
-	KeepsKeys bool
+	// OwnsKeys says that this node is a home of keys that callers chose.
+	OwnsKeys bool
 	// Readers is how many nodes of a failure domain read the log, and PollWait
 	// how long a read waits for records.
 	Readers          int
@@ -67,31 +67,31 @@
 	releasing atomic.Bool
 
 	mu         sync.Mutex
-	detector   wharfmember.Detector
-	rumours    []rumour
-	departures departures
+	detector   wharfmember.FailureDetector
+	updates    []memberUpdate
+	departures departedNodes
 }
 
 // Prepare makes the mesh ready to be called. It comes before anything else, so
 // that targets may announce themselves and nodes may call before Run.
-func (m *Mesh) Prepare() {
+func (m *Agent) Prepare() {
 	m.pool = pond.NewPool(workers)
 	m.urgent = make(chan struct{}, 1)
 	m.audit.queue = make(chan AuditEntry, auditQueue)
 }
 
 // Run carries the mesh until the context ends.
-func (m *Mesh) Run(ctx context.Context) {
+func (m *Agent) Run(ctx context.Context) {
 	var group sync.WaitGroup
 	loops := []func(context.Context){
 		(&rounds{mesh: m, rng: wharfrandom.New()}).run,
 		(&follower{mesh: m, rng: wharfrandom.New()}).run,
 		(&registration{mesh: m, rng: wharfrandom.New()}).run,
 		(&expiry{mesh: m}).run,
-		(&pauses{mesh: m}).run,
+		(&pauseDetector{mesh: m}).run,
 		m.audit.writer(m).run,
 	}
-	if m.KeepsKeys {
+	if m.OwnsKeys {
 		loops = append(loops, (&ownership{mesh: m}).run, (&snapshots{mesh: m}).run)
 	}
 	for _, loop := range loops {
@@ -101,8 +101,8 @@
 	m.pool.StopAndWait()
 }
 
-// Hurry asks for a round of exchanges at once.
-func (m *Mesh) Hurry() {
+// TriggerRound asks for a round of exchanges at once.
+func (m *Agent) TriggerRound() {
 	select {
 	case m.urgent <- struct{}{}:
 	default:
--- a/wharfnode/internal/wharfmesh/ownership.go
+++ b/wharfnode/internal/wharfmesh/ownership.go
@@ -29,13 +29,13 @@
 
 // ownership keeps the ownership of keys in step with the targets of the node.
 type ownership struct {
-	mesh *Mesh
+	mesh *Agent
 }
 
 func (o *ownership) run(ctx context.Context) {
 	pause := ownershipInterval
 	for wharftimer.Sleep(ctx, pause) && !o.mesh.releasing.Load() {
-		o.startNewLife()
+		o.startNewIncarnation()
 		served, owned := o.mesh.served(), o.mesh.owned()
 		// A service without target keeps its keys here: the target may come
 		// back, and until then the home refuses.
@@ -51,26 +51,26 @@
 	}
 }
 
-// startNewLife raises the incarnation of a node that was evicted although it
+// startNewIncarnation raises the incarnation of a node that was evicted although it
 // lives. Its earlier life never owns keys again.
-func (o *ownership) startNewLife() {
-	if !o.mesh.View.State().Homes().HasEnded(o.mesh.View.Self()) {
+func (o *ownership) startNewIncarnation() {
+	if !o.mesh.View.State().Ownership().HasEnded(o.mesh.View.Self()) {
 		return
 	}
 	o.mesh.UpdateSelf(func(self wharfmember.Member) wharfmember.Member {
 		self.Incarnation++
 		return self
 	})
-	o.mesh.Log.Emit(wharfevents.IncarnationMoved, wharfevents.Field{Name: "incarnation", Value: o.mesh.View.Incarnation()})
+	o.mesh.Log.Emit(wharfevents.IncarnationRaised, wharfevents.Field{Name: "incarnation", Value: o.mesh.View.Incarnation()})
 }
 
 func (o *ownership) announce(ctx context.Context, services []string) bool {
 	self := o.mesh.View.Self()
-	record := wharfhome.Record{
+	record := wharfhome.OwnershipRecord{
 		Kind: wharfhome.Announce, Node: self.Node, Incarnation: self.Incarnation,
 		Address: self.Address, Services: services,
 	}
-	if !o.mesh.appendHome(ctx, record, func() bool { return isSubset(services, o.mesh.owned()) }) {
+	if !o.mesh.appendOwnership(ctx, record, func() bool { return isSubset(services, o.mesh.owned()) }) {
 		return false
 	}
 	o.mesh.Log.Emit(wharfevents.OwnershipTaken, wharfevents.Field{Name: "services", Value: services})
@@ -78,7 +78,7 @@
 }
 
 // served returns the services that have a target here, leaving ones left out.
-func (m *Mesh) served() []string {
+func (m *Agent) served() []string {
 	var out []string
 	for _, t := range m.Registry.Announced() {
 		if !t.Leaving && !slices.Contains(out, t.Service) {
@@ -89,8 +89,8 @@
 	return out
 }
 
-func (m *Mesh) owned() []string {
-	return m.View.State().Homes().OwnedBy(m.View.Self())
+func (m *Agent) owned() []string {
+	return m.View.State().Ownership().OwnedBy(m.View.Self())
 }
 
 func isSubset(part, whole []string) bool {
@@ -103,17 +103,17 @@
 	return slices.Compact(out)
 }
 
-// appendHome writes an ownership record and waits until it shows in the state.
+// appendOwnership writes an ownership record and waits until it shows in the state.
 // Writing it twice does no harm, so a lost answer is simply tried again.
-func (m *Mesh) appendHome(ctx context.Context, record wharfhome.Record, folded func() bool) bool {
-	data, err := wharfstate.Envelope{Home: &record}.Encode()
+func (m *Agent) appendOwnership(ctx context.Context, record wharfhome.OwnershipRecord, folded func() bool) bool {
+	data, err := wharfstate.Envelope{Ownership: &record}.Encode()
 	if err != nil {
 		return false
 	}
 	_, err = m.Platform.Append(ctx, wharfstate.Stream, data)
-	m.Metrics.Appends(wharfstate.Stream, resultName(err))
+	m.Metrics.LogAppend(wharfstate.Stream, resultName(err))
 	if err != nil {
-		m.Log.Emit(wharfevents.AppendUncertain, wharfevents.Cause(err))
+		m.Log.Emit(wharfevents.AppendUncertain, wharfevents.ErrorField(err))
 	}
 	return m.awaitState(ctx, foldWait, folded)
 }
@@ -126,7 +126,7 @@
 }
 
 // awaitState waits until a condition on the view holds.
-func (m *Mesh) awaitState(ctx context.Context, limit time.Duration, holds func() bool) bool {
+func (m *Agent) awaitState(ctx context.Context, limit time.Duration, holds func() bool) bool {
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
 	for {
@@ -142,16 +142,16 @@
 	}
 }
 
-// Release ends the ownership of this node at a planned stop, and gives its
+// ReleaseOwnership ends the ownership of this node at a planned stop, and gives its
 // records to the next homes.
-func (m *Mesh) Release(ctx context.Context) error {
+func (m *Agent) ReleaseOwnership(ctx context.Context) error {
 	m.releasing.Store(true)
 	if len(m.owned()) == 0 {
 		return nil
 	}
 	self := m.View.Self()
-	record := wharfhome.Record{Kind: wharfhome.Release, Node: self.Node, Incarnation: self.Incarnation}
-	for !m.appendHome(ctx, record, func() bool { return len(m.owned()) == 0 }) {
+	record := wharfhome.OwnershipRecord{Kind: wharfhome.Release, Node: self.Node, Incarnation: self.Incarnation}
+	for !m.appendOwnership(ctx, record, func() bool { return len(m.owned()) == 0 }) {
 		if ctx.Err() != nil {
 			return oops.Code("release").Errorf("the release could not be written to the log in time")
 		}
@@ -161,7 +161,7 @@
 		return err
 	}
 	record.Kind = wharfhome.HandedOver
-	data, err := wharfstate.Envelope{Home: &record}.Encode()
+	data, err := wharfstate.Envelope{Ownership: &record}.Encode()
 	if err != nil {
 		return err
 	}
@@ -170,10 +170,10 @@
 }
 
 // handOver sends each record to the home that its key has now.
-func (m *Mesh) handOver(ctx context.Context) error {
+func (m *Agent) handOver(ctx context.Context) error {
 	batches := map[string][]*wharfwire.KeyRecord{}
 	now := time.Now()
-	homes := m.View.Homes().Table
+	homes := m.View.Ownership().Table
 	for _, x := range m.Keys.Export() {
 		if x.ID.Service == "" {
 			continue // Minted keys belong to this node alone.
@@ -197,7 +197,7 @@
 	return nil
 }
 
-func (m *Mesh) sendKeys(ctx context.Context, address string, records []*wharfwire.KeyRecord) error {
+func (m *Agent) sendKeys(ctx context.Context, address string, records []*wharfwire.KeyRecord) error {
 	client, err := m.Peers.Client(address)
 	if err != nil {
 		return err
@@ -211,10 +211,10 @@
 	return nil
 }
 
-func packKey(now time.Time, x wharfhome.Exported) *wharfwire.KeyRecord {
+func packKey(now time.Time, x wharfhome.ExportedKey) *wharfwire.KeyRecord {
 	return &wharfwire.KeyRecord{
 		Service: x.ID.Service, Caller: x.ID.Caller, Key: x.ID.Key,
 		State: uint32(x.Entry.State), Fingerprint: x.Entry.Fingerprint,
-		Answer: wharftarget.PackAnswer(x.Entry.Answer), AgeMs: now.Sub(x.Entry.Changed).Milliseconds(),
+		Answer: wharftarget.PackResponse(x.Entry.Response), AgeMs: now.Sub(x.Entry.Changed).Milliseconds(),
 	}
 }
--- a/wharfnode/internal/wharfmesh/registration.go
+++ b/wharfnode/internal/wharfmesh/registration.go
@@ -24,7 +24,7 @@
 // registration keeps the directory in step with the members: this node enters
 // itself, and one node chosen by hash removes those that have ended.
 type registration struct {
-	mesh *Mesh
+	mesh *Agent
 	rng  *rand.Rand
 	// removed lists the lives that this node has removed.
 	removed map[string]uint64
@@ -47,7 +47,7 @@
 func (r *registration) enter(ctx context.Context) bool {
 	err := r.mesh.Directory.Enter(ctx, r.mesh.View.SelfMember())
 	if err != nil {
-		r.mesh.Log.Emit(wharfevents.DirectoryUnavailable, wharfevents.Cause(err))
+		r.mesh.Log.Emit(wharfevents.DirectoryUnavailable, wharfevents.ErrorField(err))
 	}
 	return err == nil
 }
@@ -59,7 +59,7 @@
 			continue
 		}
 		if err := r.mesh.Directory.Remove(ctx, m); err != nil {
-			r.mesh.Log.Emit(wharfevents.DirectoryUnavailable, wharfevents.Cause(err))
+			r.mesh.Log.Emit(wharfevents.DirectoryUnavailable, wharfevents.ErrorField(err))
 			return
 		}
 		r.removed[m.Node] = m.Incarnation
--- a/wharfnode/internal/wharfmesh/revisit_test.go
+++ b/wharfnode/internal/wharfmesh/revisit_test.go
@@ -21,12 +21,12 @@
 	for _, nodes := range []int{16, 1000, 17000} {
 		asked := 0
 		for range nodes {
-			var d departures
-			d.note(now, []wharfmember.Member{ended})
+			var d departedNodes
+			d.record(now, []wharfmember.Member{ended})
 			asked += len(d.due(now, rng, nodes))
 		}
 		is.True(asked >= 1)
-		is.True(asked <= 3*revisitRate)
+		is.True(asked <= 3*reprobeRate)
 	}
 }
 
@@ -34,14 +34,14 @@
 	is := is.New(t)
 	rng := rand.New(rand.NewPCG(1, 2))
 	now := time.Unix(1000, 0)
-	var d departures
-	d.note(now, []wharfmember.Member{{Node: "a", State: wharfmember.Down}, {Node: "b", State: wharfmember.Alive}})
+	var d departedNodes
+	d.record(now, []wharfmember.Member{{Node: "a", State: wharfmember.Down}, {Node: "b", State: wharfmember.Alive}})
 	is.Equal(len(d.due(now, rng, 1)), 1)
-	d.note(now, []wharfmember.Member{{Node: "a", State: wharfmember.Alive}}) // it is back
+	d.record(now, []wharfmember.Member{{Node: "a", State: wharfmember.Alive}}) // it is back
 	is.Equal(len(d.due(now, rng, 1)), 0)
-	for i := range 2 * maxDeparted {
-		d.note(now, []wharfmember.Member{{Node: fmt.Sprint(i), State: wharfmember.Left}})
+	for i := range 2 * maxDepartedNodes {
+		d.record(now, []wharfmember.Member{{Node: fmt.Sprint(i), State: wharfmember.Left}})
 	}
-	is.Equal(len(d.due(now, rng, 1)), maxDeparted)
-	is.Equal(len(d.due(now.Add(revisitTime), rng, 1)), 0)
+	is.Equal(len(d.due(now, rng, 1)), maxDepartedNodes)
+	is.Equal(len(d.due(now.Add(reprobeWindow), rng, 1)), 0)
 }
--- a/wharfnode/internal/wharfmesh/snapshot.go
+++ b/wharfnode/internal/wharfmesh/snapshot.go
@@ -17,7 +17,7 @@
 // snapshots writes the state to the log before the records that it came from
 // expire there. All readers do; the first one that is due spares the others.
 type snapshots struct {
-	mesh *Mesh
+	mesh *Agent
 	// seen is the last snapshot in the log, and when it was noticed.
 	seen   uint64
 	seenAt time.Time
@@ -60,9 +60,9 @@
 	}
 	s.seenAt = time.Now()
 	_, err = s.mesh.Platform.Append(ctx, wharfstate.Stream, record)
-	s.mesh.Metrics.Appends(wharfstate.Stream, resultName(err))
+	s.mesh.Metrics.LogAppend(wharfstate.Stream, resultName(err))
 	if err != nil {
-		s.mesh.Log.Emit(wharfevents.AppendUncertain, wharfevents.Cause(err))
+		s.mesh.Log.Emit(wharfevents.AppendUncertain, wharfevents.ErrorField(err))
 		return
 	}
 	s.mesh.Log.Emit(wharfevents.SnapshotWritten,
--- a/wharfnode/internal/wharfmesh/watch.go
+++ b/wharfnode/internal/wharfmesh/watch.go
@@ -18,13 +18,13 @@
 	pruneInterval = 30 * time.Second
 	// pauseTick is how often the process looks at the clock.
 	pauseTick = 250 * time.Millisecond
-	// pauseNoticed is how long a tick must be overdue to mean a pause.
-	pauseNoticed = 2 * time.Second
+	// pauseThreshold is how long a tick must be overdue to mean a pause.
+	pauseThreshold = 2 * time.Second
 )
 
 // expiry drops targets that stopped renewing, and keys past their horizon.
 type expiry struct {
-	mesh *Mesh
+	mesh *Agent
 }
 
 func (e *expiry) run(ctx context.Context) {
@@ -37,7 +37,7 @@
 				e.mesh.Announce()
 			}
 		}
-		h := e.mesh.View.Horizon()
+		h := e.mesh.View.DedupWindow()
 		e.mesh.Keys.Expire(now, h.Resend+h.Skew+h.Staleness)
 		if now.Sub(pruned) >= pruneInterval {
 			pruned = now
@@ -57,13 +57,13 @@
 	return func(address string) bool { return !ended[address] }
 }
 
-// pauses notices that the process was stopped for a while. What it knew of the
+// pauseDetector notices that the process was stopped for a while. What it knew of the
 // log is then no longer confirmed.
-type pauses struct {
-	mesh *Mesh
+type pauseDetector struct {
+	mesh *Agent
 }
 
-func (p *pauses) run(ctx context.Context) {
+func (p *pauseDetector) run(ctx context.Context) {
 	last := time.Now()
 	for wharftimer.Sleep(ctx, pauseTick) {
 		now := time.Now()
@@ -71,18 +71,18 @@
 		// while the other is set forward when it wakes.
 		pause := max(now.Sub(last), now.Round(0).Sub(last.Round(0)))
 		last = now
-		if pause < pauseNoticed {
+		if pause < pauseThreshold {
 			continue
 		}
-		p.mesh.View.Expire()
+		p.mesh.View.ResetConfirmation()
 		p.mesh.Log.Emit(wharfevents.PauseNoticed, wharfevents.Field{Name: "pause", Value: pause.String()})
-		p.mesh.Hurry()
+		p.mesh.TriggerRound()
 	}
 }
 
-// Spread tells the nodes of a service in this failure domain about requests
+// BroadcastSuspicions tells the nodes of a service in this failure domain about requests
 // that crash targets, and returns when they know or the context ends.
-func (m *Mesh) Spread(ctx context.Context, service string, entries []wharfquarantine.Entry) {
+func (m *Agent) BroadcastSuspicions(ctx context.Context, service string, entries []wharfquarantine.Entry) {
 	request := &wharfwire.SuspectRequest{Suspicions: wharftarget.PackSuspicions(time.Now(), entries)}
 	group := m.pool.NewGroup()
 	for _, peer := range m.peersOf(service) {
@@ -96,15 +96,15 @@
 		})
 	}
 	_ = group.Wait()
-	m.Hurry()
+	m.TriggerRound()
 }
 
 // peersOf returns the other nodes of a service in this failure domain.
-func (m *Mesh) peersOf(service string) []wharfmember.Member {
+func (m *Agent) peersOf(service string) []wharfmember.Member {
 	var out []wharfmember.Member
 	m.View.Members(func(t *wharfmember.Table) {
 		for _, member := range t.Serving(service) {
-			if member.Node != m.View.Node() && member.FailureDomain == m.View.Place().FailureDomain {
+			if member.Node != m.View.Node() && member.FailureDomain == m.View.Locality().FailureDomain {
 				out = append(out, member)
 			}
 		}
--- a/wharfnode/internal/wharfpeers/pool.go
+++ b/wharfnode/internal/wharfpeers/pool.go
@@ -33,9 +33,9 @@
 
 // Pool keeps one connection for each peer. The zero Pool is ready to use.
 type Pool struct {
-	// Own is the address that others reach this node by, and Local the one
+	// SelfAddress is the address that others reach this node by, and ListenAddress the one
 	// that it listens on. Calls to itself don't leave the VM.
-	Own, Local string
+	SelfAddress, ListenAddress string
 
 	shards [poolShards]poolShard
 }
@@ -66,8 +66,8 @@
 		return conn, nil
 	}
 	target := address
-	if address == p.Own && p.Local != "" {
-		target = p.Local
+	if address == p.SelfAddress && p.ListenAddress != "" {
+		target = p.ListenAddress
 	}
 	conn, err := dial(target)
 	if err != nil {
--- a/wharfnode/internal/wharfprocess/cluster_test.go
+++ b/wharfnode/internal/wharfprocess/cluster_test.go
@@ -213,11 +213,11 @@
 // keyOf returns a key whose home is one of the VMs.
 func (c *cluster) keyOf(owner *vm) string {
 	c.t.Helper()
-	var table *wharfhome.Table
+	var table *wharfhome.OwnershipTable
 	for i, v := range c.vms {
-		table = table.WithRecords([]wharfhome.Positioned{{
+		table = table.WithRecords([]wharfhome.LoggedRecord{{
 			Offset: uint64(i + 1),
-			Record: wharfhome.Record{Kind: wharfhome.Announce, Node: v.id, Incarnation: 1, Services: []string{"bookings"}},
+			Record: wharfhome.OwnershipRecord{Kind: wharfhome.Announce, Node: v.id, Incarnation: 1, Services: []string{"bookings"}},
 		}})
 	}
 	for i := 0; ; i++ {
--- a/wharfnode/internal/wharfsilence/watch_test.go
+++ b/wharfnode/internal/wharfsilence/watch_test.go
@@ -24,7 +24,7 @@
 }
 
 // beginLate begins calls so late after one without an answer that it is a silence.
-func beginLate(t *testing.T, w *Watch) []context.Context {
+func beginLate(t *testing.T, w *Monitor) []context.Context {
 	t.Helper()
 	var all []context.Context
 	for range 3 {
@@ -41,42 +41,42 @@
 	l := listen(t, "127.0.0.1:0")
 	address := l.Addr().String()
 	is.NoErr(l.Close())
-	w := &Watch{Address: address}
+	w := &Monitor{Address: address}
 	calls := beginLate(t, w)
-	wharftest.Eventually(t, "the silence is known", w.Silent)
+	wharftest.Eventually(t, "the silence is known", w.Unresponsive)
 	for _, ctx := range calls {
 		<-ctx.Done()
-		is.True(errors.Is(context.Cause(ctx), ErrSilent))
+		is.True(errors.Is(context.Cause(ctx), ErrUnresponsive))
 	}
 	listen(t, address)
-	wharftest.Eventually(t, "the silence is over", func() bool { return !w.Silent() })
+	wharftest.Eventually(t, "the silence is over", func() bool { return !w.Unresponsive() })
 	ctx, c := w.Begin(t.Context())
 	is.NoErr(ctx.Err())
 	c.End()
-	is.True(!errors.Is(context.Cause(ctx), ErrSilent))
+	is.True(!errors.Is(context.Cause(ctx), ErrUnresponsive))
 }
 
 func TestSlowSideThatTakesConnectionsIsNotSilent(t *testing.T) {
 	is := is.New(t)
-	w := &Watch{Address: listen(t, "127.0.0.1:0").Addr().String()}
+	w := &Monitor{Address: listen(t, "127.0.0.1:0").Addr().String()}
 	for _, ctx := range beginLate(t, w) {
 		is.NoErr(ctx.Err())
 	}
-	is.True(!w.Silent())
+	is.True(!w.Unresponsive())
 }
 
 func TestAnswerWhileConnectionsFailIsNoSilence(t *testing.T) {
 	is := is.New(t)
 	l := listen(t, "127.0.0.1:0")
 	is.NoErr(l.Close())
-	w := &Watch{Address: l.Addr().String()}
+	w := &Monitor{Address: l.Addr().String()}
 	ctx, first := w.Begin(t.Context())
 	defer first.End()
 	time.Sleep(300 * time.Millisecond)
 	_, second := w.Begin(t.Context())
 	defer second.End()
-	second.Heard()
-	time.Sleep(2 * tryPause)
+	second.RecordResponse()
+	time.Sleep(2 * probeInterval)
 	is.NoErr(ctx.Err())
-	is.True(!w.Silent())
+	is.True(!w.Unresponsive())
 }
--- a/wharfnode/internal/wharftarget/admit.go
+++ b/wharfnode/internal/wharftarget/admit.go
@@ -19,11 +19,11 @@
 
 // admit lets a call wait for a slot of its target.
 func (s *Server) admit(c *call) (wharfoutcome.Outcome, bool) {
-	if !s.takesFresh(c) {
+	if !s.admitsClient(c) {
 		s.abandonKey(c)
-		return wharfoutcome.Refuse(wharfoutcome.ReasonOverloadBelow).WithRetryAfter(s.Pressure.RetryAfter(c.ticketPriority())), false
+		return wharfoutcome.Refuse(wharfoutcome.ReasonOverloadBelow).WithRetryAfter(s.Backpressure.RetryAfter(c.ticketPriority())), false
 	}
-	if c.target.watch.Silent() {
+	if c.target.monitor.Unresponsive() {
 		s.abandonKey(c)
 		return wharfoutcome.Refuse(wharfoutcome.ReasonTargetSilent), false
 	}
@@ -40,10 +40,10 @@
 	return o, true
 }
 
-// takesFresh decides whether work that begins here is let in. Calls made for work
+// admitsClient decides whether work that begins here is let in. Calls made for work
 // that was let in elsewhere go on.
-func (s *Server) takesFresh(c *call) bool {
-	return !c.fresh || s.Pressure.Admit(c.ticketPriority())
+func (s *Server) admitsClient(c *call) bool {
+	return !c.fromClient || s.Backpressure.Admit(c.ticketPriority())
 }
 
 // admit waits until the call may run on the target. The outcome is the zero
@@ -70,23 +70,23 @@
 	case a := <-decided:
 		return a.outcome, a.run
 	case <-late.C:
-		return t.withdraw(c, decided, wharfoutcome.ReasonDeadline)
+		return t.cancel(c, decided, wharfoutcome.ReasonDeadline)
 	case <-c.ctx.Done():
-		return t.withdraw(c, decided, c.excuse(c.ctx))
+		return t.cancel(c, decided, c.endReason(c.ctx))
 	}
 }
 
-// withdraw takes a call back whose caller went away or whose time is over. If
+// cancel takes a call back whose caller went away or whose time is over. If
 // it was admitted in the same moment, its slot is freed.
-func (t *target) withdraw(c *call, decided <-chan admission, reason wharfoutcome.Reason) (wharfoutcome.Outcome, bool) {
+func (t *target) cancel(c *call, decided <-chan admission, reason wharfoutcome.Reason) (wharfoutcome.Outcome, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	delete(t.waiters, c.id)
-	t.gate.Withdraw(c.id)
+	t.gate.Cancel(c.id)
 	select {
 	case a := <-decided:
 		if a.run {
-			t.apply(t.gate.Finish(time.Now(), c.id, 0, wharfadmission.Withdrawn))
+			t.apply(t.gate.Finish(time.Now(), c.id, 0, wharfadmission.Cancelled))
 		}
 	default:
 	}
@@ -96,14 +96,14 @@
 // apply tells waiting calls what the gate decided; the caller holds the lock.
 func (t *target) apply(fx wharfadmission.Effects) {
 	for _, id := range fx.Run {
-		t.tell(id, admission{run: true})
+		t.notify(id, admission{run: true})
 	}
 	for _, r := range fx.Refused {
-		t.tell(r.ID, admission{outcome: r.Outcome})
+		t.notify(r.ID, admission{outcome: r.Outcome})
 	}
 }
 
-func (t *target) tell(id uint64, a admission) {
+func (t *target) notify(id uint64, a admission) {
 	decided, ok := t.waiters[id]
 	if !ok {
 		return
@@ -128,24 +128,24 @@
 	t.gate.SetReserves(reserves)
 }
 
-// took notes that a call is being dispatched. It is false if the target has said
+// beginDispatch notes that a call is being dispatched. It is false if the target has said
 // in the meantime that it leaves.
-func (t *target) took(c *call) bool {
+func (t *target) beginDispatch(c *call) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.leaving || t.info.Leaving {
 		return false
 	}
-	t.inFlight[c.id] = flight{c.fingerprint, t.crashes}
+	t.inFlight[c.id] = inFlightRequest{c.fingerprint, t.crashes}
 	return true
 }
 
-// refuseWaiting sends the waiting calls of a target elsewhere; the caller holds
+// rejectWaiting sends the waiting calls of a target elsewhere; the caller holds
 // the lock.
-func (t *target) refuseWaiting(reason wharfoutcome.Reason) {
+func (t *target) rejectWaiting(reason wharfoutcome.Reason) {
 	for id := range t.waiters {
-		t.gate.Withdraw(id)
-		t.tell(id, admission{outcome: wharfoutcome.Refuse(reason)})
+		t.gate.Cancel(id)
+		t.notify(id, admission{outcome: wharfoutcome.Refuse(reason)})
 	}
 }
 
@@ -156,18 +156,18 @@
 	return t.info.Labels[wharfmember.LabelInstance]
 }
 
-// ended frees the slot of a call that was admitted.
-func (t *target) ended(c *call, latency time.Duration, result wharfadmission.Result) {
+// endDispatch frees the slot of a call that was admitted.
+func (t *target) endDispatch(c *call, latency time.Duration, result wharfadmission.Result) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	delete(t.inFlight, c.id)
 	t.apply(t.gate.Finish(time.Now(), c.id, latency, result))
 }
 
-// crashed counts a broken connection. All requests that were in flight when a
+// recordCrash counts a broken connection. All requests that were in flight when a
 // target crashes break off one by one; they are one crash. It returns those
 // that were in flight, or nil if the crash is already known.
-func (t *target) crashed(c *call) ([]wharfquarantine.Fingerprint, int) {
+func (t *target) recordCrash(c *call) ([]wharfquarantine.Fingerprint, int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.inFlight[c.id].crashes < t.crashes {
@@ -184,19 +184,19 @@
 // load describes the target to senders. The level is the lowest that the call
 // met here or below.
 func (t *target) load(s *Server, c *call) *wharfwire.Load {
-	below := s.Pressure.Below()
+	below := s.Backpressure.DownstreamDelay()
 	t.mu.Lock()
-	l, wait := t.gate.Load(), t.gate.Wait()
+	l, wait := t.gate.Load(), t.gate.EstimatedWait()
 	t.mu.Unlock()
-	level := min(l.Level, wharfadmission.LevelOpen-wharfadmission.Priority(c.below.Closed))
+	level := min(l.Level, wharfadmission.LevelOpen-wharfadmission.Priority(c.downstream.LevelReduction))
 	return &wharfwire.Load{
 		InFlight:   uint32(l.Running),
 		Queued:     uint32(l.Queued),
 		Limit:      uint32(l.Limit),
 		RouteLevel: uint32(level),
 		LowestRank: uint32(max(l.LowestRank, 0)),
-		Room:       uint32(l.Room),
-		Internal:   !c.fresh,
+		Room:       uint32(l.QueueRoom),
+		Internal:   !c.fromClient,
 		PressureMs: uint32(max(wait, below).Milliseconds()),
 	}
 }
--- a/wharfnode/internal/wharftarget/answer.go
+++ b/wharfnode/internal/wharftarget/answer.go
@@ -19,7 +19,7 @@
 // answerBroken ends a call whose answer could not be sent whole. The sender
 // sees the call fail with the reason and takes nothing for complete.
 func answerBroken(reason wharfoutcome.Reason) error {
-	return &wharfhop.BrokenError{Reason: reason}
+	return &wharfhop.AbortedError{Reason: reason}
 }
 
 // sendWhole sends an answer that is at hand as one frame.
@@ -35,7 +35,7 @@
 		Outcome:      uint32(o.Kind),
 		Reason:       string(o.Reason),
 		RetryAfterMs: o.RetryAfter.Milliseconds(),
-		Retried:      c.below.Retried,
+		Retried:      c.downstream.Retried,
 		Arrived:      c.arrived,
 	}
 	if c.target != nil {
@@ -51,27 +51,27 @@
 // attemptsLeft returns the attempts that the call did not use.
 func (c *call) attemptsLeft() int {
 	if c.dispatched {
-		return c.below.Grant.Left()
+		return c.downstream.Grant.Left()
 	}
 	return int(c.head.GetAttempts())
 }
 
-// sendKept answers a resend with the answer of the first send.
-func (s *Server) sendKept(c *call, head *wharfwire.AnswerHead) error {
+// sendStored answers a resend with the answer of the first send.
+func (s *Server) sendStored(c *call, head *wharfwire.AnswerHead) error {
 	head.Status = int32(c.replay.Status)
 	head.ContentLength = int64(len(c.replay.Body))
-	head.Headers = PackAnswer(c.replay).GetHeaders()
+	head.Headers = PackResponse(c.replay).GetHeaders()
 	return s.sendWhole(c, head, c.replay.Body)
 }
 
 // relay passes the answer of the target on while it comes in.
 func (s *Server) relay(c *call, ctx context.Context, response *http.Response, result *wharfadmission.Result) (wharfoutcome.Outcome, bool) {
-	c.below, _ = s.Ledger.Get(c.grant)
+	c.downstream, _ = s.Ledger.Get(c.grant)
 	head := s.answerHead(c, wharfoutcome.Done())
 	head.Status = int32(response.StatusCode)
 	head.Headers = wharfwire.PackHeaders(response.Header)
 	head.ContentLength = response.ContentLength
-	kept := keptAnswer{answer: wharfhome.Answer{Status: response.StatusCode}}
+	kept := storedResponse{answer: wharfhome.Response{Status: response.StatusCode}}
 	if c.keyed {
 		kept.answer.Headers = unpackHeaders(head.GetHeaders())
 	}
@@ -87,12 +87,12 @@
 		return wharfoutcome.Outcome{}, true
 	}
 	*result = wharfadmission.Answered
-	if isShed(response.StatusCode) && !c.below.RefusedBelow {
+	if isShed(response.StatusCode) && !c.downstream.DownstreamRefused {
 		*result = wharfadmission.Shed
 	}
-	kept.answer.Whole = !kept.over
+	kept.answer.Complete = !kept.over
 	s.finishKey(c, wharfoutcome.Done(), &kept.answer)
-	s.succeeded(c)
+	s.recordSuccess(c)
 	s.Metrics.Dispatch(c.head.GetClass(), wharfoutcome.Done())
 	p.next.End = answerEnd(&p.sum, c.attemptsLeft())
 	p.flush()
@@ -110,7 +110,7 @@
 type pipe struct {
 	call *call
 	sum  wharfwire.BodySum
-	kept *keptAnswer
+	kept *storedResponse
 	// next is the frame that is sent next.
 	next wharfwire.AnswerFrame
 	err  error
--- a/wharfnode/internal/wharftarget/body.go
+++ b/wharfnode/internal/wharftarget/body.go
@@ -74,14 +74,14 @@
 	return nil
 }
 
-// keptAnswer collects the answer of a keyed call while it passes.
-type keptAnswer struct {
-	answer wharfhome.Answer
+// storedResponse collects the answer of a keyed call while it passes.
+type storedResponse struct {
+	answer wharfhome.Response
 	over   bool
 }
 
-func (k *keptAnswer) add(p []byte) {
-	if k.over || len(k.answer.Body)+len(p) > wharfhome.MaxKeptBody {
+func (k *storedResponse) add(p []byte) {
+	if k.over || len(k.answer.Body)+len(p) > wharfhome.MaxStoredBody {
 		k.over = true
 		k.answer.Body = nil
 		return
--- a/wharfnode/internal/wharftarget/crash.go
+++ b/wharfnode/internal/wharftarget/crash.go
@@ -20,14 +20,14 @@
 	staleIdle = time.Second
 	// probeTimeout bounds the probe of a target whose connection broke.
 	probeTimeout = 200 * time.Millisecond
-	// spreadTimeout bounds how long an answer waits for others to learn of a
+	// broadcastTimeout bounds how long an answer waits for others to learn of a
 	// crash.
-	spreadTimeout = 300 * time.Millisecond
+	broadcastTimeout = 300 * time.Millisecond
 )
 
 // failed decides what a dispatch without an answer means.
 func (s *Server) failed(c *call, ctx context.Context, conn connection, err error) wharfoutcome.Outcome {
-	excuse := c.excuse(ctx)
+	excuse := c.endReason(ctx)
 	if !conn.got() {
 		// There never was a connection, so nothing was sent.
 		return wharfoutcome.Refuse(cmp.Or(excuse, wharfoutcome.ReasonUnreachable))
@@ -38,36 +38,36 @@
 	}
 	s.Log.Emit(wharfevents.DispatchFailed,
 		wharfevents.Field{Name: "target", Value: c.target.address},
-		wharfevents.Cause(err))
-	if (conn.idle > staleIdle || s.CrashedRefuse) && s.accepts(c) {
+		wharfevents.ErrorField(err))
+	if (conn.idle > staleIdle || s.RefusesAfterCrash) && s.accepts(c) {
 		return wharfoutcome.Uncertain(wharfoutcome.ReasonAnswerLost)
 	}
-	s.blame(c)
+	s.reportCrash(c)
 	return wharfoutcome.Uncertain(wharfoutcome.ReasonTargetCrashed)
 }
 
 // brokeOff decides what an answer that ended early means.
 func (s *Server) brokeOff(c *call, ctx context.Context, senderLost bool) wharfoutcome.Outcome {
-	excuse := c.excuse(ctx)
+	excuse := c.endReason(ctx)
 	if excuse == wharfoutcome.ReasonNone && senderLost {
 		excuse = wharfoutcome.ReasonCancelled
 	}
 	if excuse != wharfoutcome.ReasonNone {
 		return wharfoutcome.Uncertain(excuse)
 	}
-	if s.CrashedRefuse && s.accepts(c) {
+	if s.RefusesAfterCrash && s.accepts(c) {
 		return wharfoutcome.Uncertain(wharfoutcome.ReasonAnswerIncomplete)
 	}
-	s.blame(c)
+	s.reportCrash(c)
 	return wharfoutcome.Uncertain(wharfoutcome.ReasonTargetCrashed)
 }
 
-// excuse names what ended a dispatch, if it wasn't the target.
-func (c *call) excuse(ctx context.Context) wharfoutcome.Reason {
+// endReason names what ended a dispatch, if it wasn't the target.
+func (c *call) endReason(ctx context.Context) wharfoutcome.Reason {
 	switch {
 	case !time.Now().Before(c.deadline):
 		return wharfoutcome.ReasonDeadline
-	case errors.Is(context.Cause(ctx), wharfsilence.ErrSilent):
+	case errors.Is(context.Cause(ctx), wharfsilence.ErrUnresponsive):
 		return wharfoutcome.ReasonTargetSilent
 	case ctx.Err() != nil:
 		return wharfoutcome.ReasonCancelled
@@ -80,13 +80,13 @@
 
 // accepts reports whether the target takes new connections.
 func (s *Server) accepts(c *call) bool {
-	return wharfsocket.Accepts(c.ctx, c.target.address, probeTimeout)
+	return wharfsocket.CanConnect(c.ctx, c.target.address, probeTimeout)
 }
 
-// blame makes the requests in flight suspects, and tells the other nodes of
+// reportCrash makes the requests in flight suspects, and tells the other nodes of
 // the service before the sender can try again.
-func (s *Server) blame(c *call) {
-	fingerprints, crash := c.target.crashed(c)
+func (s *Server) reportCrash(c *call) {
+	fingerprints, crash := c.target.recordCrash(c)
 	if fingerprints == nil {
 		return
 	}
@@ -95,16 +95,16 @@
 		wharfevents.Field{Name: "target", Value: address},
 		wharfevents.Field{Name: "in-flight", Value: len(fingerprints)})
 	id := wharfquarantine.CrashID{Target: address, Incarnation: s.View.Incarnation(), Number: crash}
-	entries := s.Quarantine.Crash(time.Now(), id, fingerprints)
+	entries := s.Quarantine.RecordCrash(time.Now(), id, fingerprints)
 	s.reportQuarantined(entries)
-	s.spread(c, entries)
+	s.broadcast(c, entries)
 }
 
-// spread tells the other nodes of the service before the answer goes on.
-func (s *Server) spread(c *call, entries []wharfquarantine.Entry) {
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(c.ctx), spreadTimeout)
+// broadcast tells the other nodes of the service before the answer goes on.
+func (s *Server) broadcast(c *call, entries []wharfquarantine.Entry) {
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(c.ctx), broadcastTimeout)
 	defer cancel()
-	s.Spreader.Spread(ctx, c.head.GetService(), entries)
+	s.Broadcaster.BroadcastSuspicions(ctx, c.head.GetService(), entries)
 }
 
 func (s *Server) reportQuarantined(entries []wharfquarantine.Entry) {
@@ -113,14 +113,14 @@
 			continue
 		}
 		fp := wharfevents.Field{Name: "fingerprint", Value: strconv.FormatUint(uint64(e.Fingerprint), 16)}
-		s.Log.Emit(wharfevents.Quarantined, fp)
+		s.Log.Emit(wharfevents.RequestQuarantined, fp)
 		s.Auditor.Audit("quarantine", fp)
 	}
 }
 
-// succeeded forgives a suspected request that ran without harm.
-func (s *Server) succeeded(c *call) {
-	if e, forgiven := s.Quarantine.Succeeded(time.Now(), c.fingerprint); forgiven {
-		s.spread(c, []wharfquarantine.Entry{e})
+// recordSuccess forgives a suspected request that ran without harm.
+func (s *Server) recordSuccess(c *call) {
+	if e, forgiven := s.Quarantine.RecordSuccess(time.Now(), c.fingerprint); forgiven {
+		s.broadcast(c, []wharfquarantine.Entry{e})
 	}
 }
--- a/wharfnode/internal/wharftarget/crash_test.go
+++ b/wharfnode/internal/wharftarget/crash_test.go
@@ -32,7 +32,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			c := &call{deadline: time.Now().Add(tc.left), body: &callBody{}}
 			c.body.broken.Store(tc.broken)
-			is.New(t).Equal(c.excuse(tc.ctx), tc.want)
+			is.New(t).Equal(c.endReason(tc.ctx), tc.want)
 		})
 	}
 }
--- a/wharfnode/internal/wharftarget/dispatch.go
+++ b/wharfnode/internal/wharftarget/dispatch.go
@@ -73,11 +73,11 @@
 
 // dispatch sends an admitted call to the target and its answer to the sender.
 func (s *Server) dispatch(c *call) (wharfoutcome.Outcome, bool) {
-	result := wharfadmission.Withdrawn
+	result := wharfadmission.Cancelled
 	started := time.Now()
 	// The time that the target waited for calls of its own is not its latency.
-	defer func() { c.target.ended(c, time.Since(started)-c.below.Below, result) }()
-	if !c.target.took(c) {
+	defer func() { c.target.endDispatch(c, time.Since(started)-c.downstream.DownstreamTime, result) }()
+	if !c.target.beginDispatch(c) {
 		s.abandonKey(c)
 		return wharfoutcome.Refuse(wharfoutcome.ReasonLeaving), false
 	}
@@ -85,7 +85,7 @@
 		return o, false
 	}
 	c.dispatched = true
-	s.Ledger.Open(c.grant, wharfbudget.Entry{
+	s.Ledger.Open(c.grant, wharfbudget.ServedCall{
 		Grant:    wharfbudget.NewGrant(int(c.head.GetAttempts())),
 		Deadline: c.deadline,
 		Request:  c.head.GetRequestId(),
@@ -94,7 +94,7 @@
 	})
 	ctx, cancel := s.dispatchContext(c)
 	defer cancel()
-	ctx, watched := c.target.watch.Begin(ctx)
+	ctx, watched := c.target.monitor.Begin(ctx)
 	defer watched.End()
 	var conn connection
 	response, err := s.client.roundTrip(s.request(c, ctx, &conn), c.head.GetIdempotent())
@@ -105,13 +105,13 @@
 		s.finishKey(c, o, nil)
 		return o, false
 	}
-	watched.Heard()
+	watched.RecordResponse()
 	defer func() { _ = response.Body.Close() }()
 	c.arrived = true
-	switch v := s.Dialect.Judge(response, c.told); v.Kind {
+	switch v := s.Protocol.Classify(response, c.dispatchInfo); v.Kind {
 	case wharfoutcome.NotRun:
 		s.settle(c)
-		if !c.below.RefusedBelow {
+		if !c.downstream.DownstreamRefused {
 			result = wharfadmission.Shed
 		}
 		o := wharfoutcome.Refuse(v.Reason).WithRetryAfter(v.RetryAfter)
@@ -155,12 +155,12 @@
 	if _, set := r.Header["User-Agent"]; !set {
 		r.Header.Set("User-Agent", "")
 	}
-	c.told = wharfdialect.Dispatch{
+	c.dispatchInfo = wharfdialect.Dispatch{
 		RequestID: c.head.GetRequestId(),
 		Host:      c.head.GetHost(),
 		Caller:    c.head.GetCaller(),
 		Instance:  c.target.instance(),
-		Left:      time.Until(c.deadline),
+		Remaining: time.Until(c.deadline),
 		Context: wharfwire.Context{
 			RequestID: c.head.GetRequestId(),
 			Grant:     uint64(c.grant),
@@ -168,7 +168,7 @@
 			Attempts:  int(c.head.GetAttempts()),
 		}.String(),
 	}
-	s.Dialect.Prepare(r, c.told)
+	s.Protocol.SetRequestHeaders(r, c.dispatchInfo)
 	return r
 }
 
@@ -186,15 +186,15 @@
 
 // settle closes the grant of the call and keeps what it says of those below.
 func (s *Server) settle(c *call) {
-	c.below = s.Ledger.Close(c.grant)
+	c.downstream = s.Ledger.Close(c.grant)
 }
 
 func resultOf(ctx context.Context, o wharfoutcome.Outcome) wharfadmission.Result {
 	switch {
 	case o.Reason == wharfoutcome.ReasonDeadline:
-		return wharfadmission.Late
+		return wharfadmission.DeadlineExceeded
 	case ctx.Err() != nil || o.Reason == wharfoutcome.ReasonBodyIncomplete:
-		return wharfadmission.Withdrawn
+		return wharfadmission.Cancelled
 	default:
 		return wharfadmission.Failed
 	}
--- a/wharfnode/internal/wharftarget/home.go
+++ b/wharfnode/internal/wharftarget/home.go
@@ -10,9 +10,9 @@
 	"ragwortwharf.dev/wharf/wharfwire"
 )
 
-// MintedKey returns the key of an attempt whose caller gave none. It belongs
+// GeneratedKey returns the key of an attempt whose caller gave none. It belongs
 // to the one node that the attempt is sent to.
-func MintedKey(attempt uint64) wharfhome.KeyID {
+func GeneratedKey(attempt uint64) wharfhome.KeyID {
 	return wharfhome.KeyID{Key: strconv.FormatUint(attempt, 16)}
 }
 
@@ -23,16 +23,16 @@
 	}
 	c.keyed = true
 	if c.head.GetKeyMinted() {
-		c.key = MintedKey(c.head.GetAttemptId())
-		return s.step(c, s.Keys.Begin(time.Now(), c.key, c.head.GetFingerprint(), 0))
+		c.key = GeneratedKey(c.head.GetAttemptId())
+		return s.applyDecision(c, s.Keys.Begin(time.Now(), c.key, c.head.GetFingerprint(), 0))
 	}
 	c.key = wharfhome.KeyID{Service: c.head.GetService(), Caller: c.head.GetCaller(), Key: c.head.GetKey()}
 	for {
 		ended := s.joiners.await(c.key)
 		plan := s.receiveKey(c)
-		if plan.Step != wharfhome.Join {
+		if plan.Action != wharfhome.Join {
 			s.joiners.leave(c.key, ended)
-			return s.step(c, s.consult(c, plan))
+			return s.applyDecision(c, s.consult(c, plan))
 		}
 		select {
 		case <-ended:
@@ -46,23 +46,23 @@
 func (s *Server) receiveKey(c *call) wharfhome.Plan {
 	fingerprint := c.head.GetFingerprint()
 	if s.View.State().Offset() < c.head.GetStateOffset() {
-		return s.home().CatchUp(c.key, fingerprint)
+		return s.deduplicator().DecideStale(c.key, fingerprint)
 	}
-	return s.home().Receive(time.Now(), s.View.Homes(), c.key, fingerprint, s.View.Horizon())
+	return s.deduplicator().Decide(time.Now(), s.View.Ownership(), c.key, fingerprint, s.View.DedupWindow())
 }
 
-func (s *Server) home() wharfhome.Home {
-	return wharfhome.Home{Self: s.View.Self(), Keys: s.Keys}
+func (s *Server) deduplicator() wharfhome.Deduplicator {
+	return wharfhome.Deduplicator{Self: s.View.Self(), Keys: s.Keys}
 }
 
 // consult asks the earlier homes of a key that was taken.
 func (s *Server) consult(c *call, plan wharfhome.Plan) wharfhome.Decision {
-	if plan.Step != wharfhome.Take {
+	if plan.Action != wharfhome.Proceed {
 		return plan.Decision
 	}
-	for _, earlier := range plan.Consult {
-		decision := s.ask(c, earlier)
-		if decision.Step != wharfhome.Take {
+	for _, earlier := range plan.PreviousOwners {
+		decision := s.askPreviousOwner(c, earlier)
+		if decision.Action != wharfhome.Proceed {
 			s.joiners.wake(c.key)
 			return decision
 		}
@@ -70,21 +70,21 @@
 	return plan.Decision
 }
 
-func (s *Server) ask(c *call, earlier wharfhome.Owner) wharfhome.Decision {
+func (s *Server) askPreviousOwner(c *call, earlier wharfhome.Owner) wharfhome.Decision {
 	entry, err := s.Consulter.Consult(c.ctx, earlier, c.key)
 	if err != nil {
-		return s.home().Unreachable(c.key)
+		return s.deduplicator().PreviousUnreachable(c.key)
 	}
-	return s.Keys.Learn(time.Now(), c.key, entry)
+	return s.Keys.MergePrevious(time.Now(), c.key, entry)
 }
 
-// step turns the decision of the home into the end of the filter.
-func (s *Server) step(c *call, d wharfhome.Decision) (wharfoutcome.Outcome, bool) {
-	switch d.Step {
-	case wharfhome.Take:
+// applyDecision turns the decision of the home into the end of the filter.
+func (s *Server) applyDecision(c *call, d wharfhome.Decision) (wharfoutcome.Outcome, bool) {
+	switch d.Action {
+	case wharfhome.Proceed:
 		return wharfoutcome.Outcome{}, true
 	case wharfhome.Replay:
-		c.replay = d.Answer
+		c.replay = d.Response
 		return wharfoutcome.Done(), false
 	case wharfhome.Refuse:
 		return d.Outcome, false
@@ -106,7 +106,7 @@
 		}
 		return wharfoutcome.Refuse(wharfoutcome.ReasonKeyClosed), false
 	}
-	if s.home().MayDispatch(now, s.View.Homes(), c.key, s.View.Horizon()) {
+	if s.deduplicator().TryDispatch(now, s.View.Ownership(), c.key, s.View.DedupWindow()) {
 		return wharfoutcome.Outcome{}, true
 	}
 	s.joiners.wake(c.key)
@@ -122,7 +122,7 @@
 }
 
 // finishKey records how a dispatched call ended.
-func (s *Server) finishKey(c *call, o wharfoutcome.Outcome, answer *wharfhome.Answer) {
+func (s *Server) finishKey(c *call, o wharfoutcome.Outcome, answer *wharfhome.Response) {
 	if !c.keyed {
 		return
 	}
@@ -130,9 +130,9 @@
 	case wharfoutcome.Completed:
 		s.Keys.Finish(time.Now(), c.key, answer)
 	case wharfoutcome.NotRun:
-		s.Keys.Disclaim(c.key)
+		s.Keys.Rollback(c.key)
 	default:
-		s.Keys.Lose(time.Now(), c.key)
+		s.Keys.MarkLost(time.Now(), c.key)
 	}
 	s.joiners.wake(c.key)
 }
@@ -189,37 +189,37 @@
 }
 
 // packEntry returns the message form of an entry.
-func packEntry(e wharfhome.Entry) *wharfwire.ConsultResponse {
-	return &wharfwire.ConsultResponse{State: uint32(e.State), Fingerprint: e.Fingerprint, Answer: PackAnswer(e.Answer)}
+func packEntry(e wharfhome.KeyEntry) *wharfwire.ConsultResponse {
+	return &wharfwire.ConsultResponse{State: uint32(e.State), Fingerprint: e.Fingerprint, Answer: PackResponse(e.Response)}
 }
 
-// PackAnswer returns the message form of a kept answer.
-func PackAnswer(a *wharfhome.Answer) *wharfwire.KeptAnswer {
+// PackResponse returns the message form of a kept answer.
+func PackResponse(a *wharfhome.Response) *wharfwire.KeptAnswer {
 	if a == nil {
 		return nil
 	}
-	kept := &wharfwire.KeptAnswer{Status: int32(a.Status), Body: a.Body, Whole: a.Whole}
+	kept := &wharfwire.KeptAnswer{Status: int32(a.Status), Body: a.Body, Whole: a.Complete}
 	for _, h := range a.Headers {
 		kept.Headers = append(kept.Headers, &wharfwire.Header{Name: h.Name, Values: h.Values})
 	}
 	return kept
 }
 
-// UnpackAnswer reads the message form of a kept answer.
-func UnpackAnswer(kept *wharfwire.KeptAnswer) *wharfhome.Answer {
+// UnpackResponse reads the message form of a kept answer.
+func UnpackResponse(kept *wharfwire.KeptAnswer) *wharfhome.Response {
 	if kept == nil {
 		return nil
 	}
-	return &wharfhome.Answer{
+	return &wharfhome.Response{
 		Status: int(kept.GetStatus()), Headers: unpackHeaders(kept.GetHeaders()),
-		Body: kept.GetBody(), Whole: kept.GetWhole(),
+		Body: kept.GetBody(), Complete: kept.GetWhole(),
 	}
 }
 
-func unpackHeaders(headers []*wharfwire.Header) []wharfhome.AnswerHeader {
-	var out []wharfhome.AnswerHeader
+func unpackHeaders(headers []*wharfwire.Header) []wharfhome.ResponseHeader {
+	var out []wharfhome.ResponseHeader
 	for _, h := range headers {
-		out = append(out, wharfhome.AnswerHeader{Name: h.GetName(), Values: h.GetValues()})
+		out = append(out, wharfhome.ResponseHeader{Name: h.GetName(), Values: h.GetValues()})
 	}
 	return out
 }
--- a/wharfnode/internal/wharftarget/peer.go
+++ b/wharfnode/internal/wharftarget/peer.go
@@ -31,12 +31,12 @@
 // HandOver takes the records of keys of a home that is leaving.
 func (s *Server) HandOver(_ context.Context, r *wharfwire.HandOverRequest) (*wharfwire.HandOverResponse, error) {
 	for _, k := range r.GetRecords() {
-		x := wharfhome.Exported{
+		x := wharfhome.ExportedKey{
 			ID: wharfhome.KeyID{Service: k.GetService(), Caller: k.GetCaller(), Key: k.GetKey()},
-			Entry: wharfhome.Entry{
+			Entry: wharfhome.KeyEntry{
 				State:       wharfhome.State(k.GetState()),
 				Fingerprint: k.GetFingerprint(),
-				Answer:      UnpackAnswer(k.GetAnswer()),
+				Response:    UnpackResponse(k.GetAnswer()),
 				Changed:     time.Now().Add(-time.Duration(k.GetAgeMs()) * time.Millisecond),
 			},
 		}
@@ -62,7 +62,7 @@
 	out := make([]*wharfwire.Crash, 0, len(crashes))
 	for _, c := range crashes {
 		out = append(out, &wharfwire.Crash{
-			Target: c.Target, Incarnation: c.Incarnation, Number: uint32(c.Number), Forgiven: c.Forgiven,
+			Target: c.Target, Incarnation: c.Incarnation, Number: uint32(c.Number), Forgiven: c.Cleared,
 		})
 	}
 	return out
@@ -72,7 +72,7 @@
 	out := make([]wharfquarantine.Crash, 0, len(crashes))
 	for _, c := range crashes {
 		id := wharfquarantine.CrashID{Target: c.GetTarget(), Incarnation: c.GetIncarnation(), Number: int(c.GetNumber())}
-		out = append(out, wharfquarantine.Crash{CrashID: id, Forgiven: c.GetForgiven()})
+		out = append(out, wharfquarantine.Crash{CrashID: id, Cleared: c.GetForgiven()})
 	}
 	return out
 }
--- a/wharfnode/internal/wharftarget/pressure.go
+++ b/wharfnode/internal/wharftarget/pressure.go
@@ -19,21 +19,21 @@
 	sweepInterval = 10 * time.Second
 )
 
-// Pressure keeps what the calls of this node's targets meet. A node has one
-// target as a rule, so all calls are taken as made by it. The zero Pressure
+// BackpressureGuard keeps what the calls of this node's targets meet. A node has one
+// target as a rule, so all calls are taken as made by it. The zero BackpressureGuard
 // holds nothing back.
-type Pressure struct {
+type BackpressureGuard struct {
 	// Enabled turns holding back on.
 	Enabled bool
 
 	mu      sync.Mutex
 	state   wharfadmission.Backpressure
-	origins wharfadmission.Origins
+	origins wharfadmission.ClientRouteDetector
 	swept   time.Time
 }
 
-// Fresh reports whether a kind of request is one of clients.
-func (p *Pressure) Fresh(route, caller string, services int) bool {
+// IsClientRequest reports whether a kind of request is one of clients.
+func (p *BackpressureGuard) IsClientRequest(route, caller string, services int) bool {
 	if !p.Enabled {
 		return true
 	}
@@ -42,13 +42,13 @@
 	defer p.mu.Unlock()
 	if now.Sub(p.swept) > sweepInterval {
 		p.swept = now
-		p.origins.Forget(now)
+		p.origins.Prune(now)
 	}
-	return p.origins.Fresh(now, route, caller, services)
+	return p.origins.IsClientRequest(now, route, caller, services)
 }
 
 // Observe takes the wait that a call of a target here has met.
-func (p *Pressure) Observe(wait time.Duration) {
+func (p *BackpressureGuard) Observe(wait time.Duration) {
 	if !p.Enabled {
 		return
 	}
@@ -58,7 +58,7 @@
 }
 
 // Admit reports whether fresh work is let in.
-func (p *Pressure) Admit(priority wharfadmission.Priority) bool {
+func (p *BackpressureGuard) Admit(priority wharfadmission.Priority) bool {
 	if !p.Enabled {
 		return true
 	}
@@ -67,23 +67,23 @@
 	return p.state.Admit(time.Now(), priority)
 }
 
-// Below returns the wait that the calls of the targets here meet.
-func (p *Pressure) Below() time.Duration {
+// DownstreamDelay returns the wait that the calls of the targets here meet.
+func (p *BackpressureGuard) DownstreamDelay() time.Duration {
 	if !p.Enabled {
 		return 0
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.state.Pressure(time.Now())
+	return p.state.QueueDelay(time.Now())
 }
 
 // RetryAfter advises a caller whose work was held back. The smaller the share
 // that is let in, the later it is worth to come back, so that less important
 // callers don't spend their tries on a service that has no room for them yet.
-func (p *Pressure) RetryAfter(priority wharfadmission.Priority) time.Duration {
+func (p *BackpressureGuard) RetryAfter(priority wharfadmission.Priority) time.Duration {
 	p.mu.Lock()
-	share := p.state.Share(time.Now(), priority.Rank())
+	share := p.state.AdmittedShare(time.Now(), priority.Rank())
 	p.mu.Unlock()
 	advice := min(time.Duration(float64(leastRetryAfter)/share), maxRetryAfter)
-	return wharfadmission.SpreadAdvice(advice, rand.Float64())
+	return wharfadmission.AddJitter(advice, rand.Float64())
 }
--- a/wharfnode/internal/wharftarget/quarantine.go
+++ b/wharfnode/internal/wharftarget/quarantine.go
@@ -19,17 +19,17 @@
 		return wharfoutcome.Refuse(wharfoutcome.ReasonQuarantined).WithRetryAfter(left), false
 	}
 	suspicion, suspected := s.Quarantine.Suspicion(now, c.fingerprint)
-	if !suspected || runsAtHome(c) {
+	if !suspected || runsAtOwner(c) {
 		return wharfoutcome.Outcome{}, true
 	}
-	confinement := wharfrouting.Confinement{Fingerprint: uint64(c.fingerprint), Crashed: suspicion.Targets()}
+	confinement := wharfrouting.ExposureLimit{Fingerprint: uint64(c.fingerprint), Crashed: suspicion.Targets()}
 	if confinement.Allows(s.View.Targets(c.head.GetService()), c.head.GetTarget()) {
 		return wharfoutcome.Outcome{}, true
 	}
 	return wharfoutcome.Refuse(wharfoutcome.ReasonSuspected).WithRetryAfter(suspectRetryAfter), false
 }
 
-// runsAtHome reports whether a call has one target only, the home of its key.
-func runsAtHome(c *call) bool {
+// runsAtOwner reports whether a call has one target only, the home of its key.
+func runsAtOwner(c *call) bool {
 	return !c.head.GetIdempotent() && !c.head.GetKeyMinted()
 }
--- a/wharfnode/internal/wharftarget/receive.go
+++ b/wharfnode/internal/wharftarget/receive.go
@@ -23,12 +23,12 @@
 
 // consulter asks an earlier home about a key, which closes it there.
 type consulter interface {
-	Consult(ctx context.Context, owner wharfhome.Owner, id wharfhome.KeyID) (wharfhome.Entry, error)
+	Consult(ctx context.Context, owner wharfhome.Owner, id wharfhome.KeyID) (wharfhome.KeyEntry, error)
 }
 
-// spreader tells the nodes of a service which requests crash targets.
-type spreader interface {
-	Spread(ctx context.Context, service string, entries []wharfquarantine.Entry)
+// broadcaster tells the nodes of a service which requests crash targets.
+type broadcaster interface {
+	BroadcastSuspicions(ctx context.Context, service string, entries []wharfquarantine.Entry)
 }
 
 // auditor records acts of the node.
@@ -40,20 +40,20 @@
 type Server struct {
 	View     *wharfview.View
 	Registry *Registry
-	// Pressure is what the calls of the targets here meet.
-	Pressure   *Pressure
-	Ledger     *wharfbudget.Ledger
-	Quarantine *wharfquarantine.List
-	Keys       *wharfhome.Keys
-	Consulter  consulter
-	Spreader   spreader
-	Auditor    auditor
-	Dialect    wharfdialect.Targets
-	// CrashedRefuse says that a target which crashed refuses connections for a
+	// Backpressure is what the calls of the targets here meet.
+	Backpressure *BackpressureGuard
+	Ledger       *wharfbudget.Ledger
+	Quarantine   *wharfquarantine.List
+	Keys         *wharfhome.KeyStore
+	Consulter    consulter
+	Broadcaster  broadcaster
+	Auditor      auditor
+	Protocol     wharfdialect.TargetProtocol
+	// RefusesAfterCrash says that a target which crashed refuses connections for a
 	// while, so that one which takes them has only lost an answer.
-	CrashedRefuse bool
-	Log           wharfevents.Log
-	Metrics       wharfevents.Metrics
+	RefusesAfterCrash bool
+	Log               wharfevents.Log
+	Metrics           wharfevents.Metrics
 
 	joiners joiners
 	client  dispatcher
@@ -80,16 +80,16 @@
 	grant wharfbudget.GrantID
 	// dispatched says that the call has a grant in the ledger.
 	dispatched bool
-	// told is what the target was told with the request.
-	told wharfdialect.Dispatch
-	// fresh says that this is a request of a client, and no call made to serve one.
-	fresh bool
+	// dispatchInfo is what the target was told with the request.
+	dispatchInfo wharfdialect.Dispatch
+	// fromClient says that this is a request of a client, and no call made to serve one.
+	fromClient bool
 	// arrived says that the target received the request, or may have.
 	arrived bool
-	// below is what the calls that the target made for this one have met.
-	below wharfbudget.Entry
+	// downstream is what the calls that the target made for this one have met.
+	downstream wharfbudget.ServedCall
 	// replay is the kept answer of an earlier send.
-	replay *wharfhome.Answer
+	replay *wharfhome.Response
 	// err ends the stream of a call whose answer could not be sent whole.
 	err error
 }
@@ -135,7 +135,7 @@
 		target:      s.Registry.serving(head.GetService(), head.GetTarget()),
 		grant:       wharfbudget.GrantID(rand.Uint64()),
 	}
-	c.fresh = head.GetDepth() == 0 && s.Pressure.Fresh(head.GetRoute(), head.GetCaller(), s.View.Services())
+	c.fromClient = head.GetDepth() == 0 && s.Backpressure.IsClientRequest(head.GetRoute(), head.GetCaller(), s.View.Services())
 	return s.serve(c)
 }
 
@@ -151,7 +151,7 @@
 		head := s.answerHead(c, o)
 		s.explain(c, o, head.GetLoad())
 		if c.replay != nil {
-			return s.sendKept(c, head)
+			return s.sendStored(c, head)
 		}
 		return s.sendWhole(c, head, nil)
 	}
@@ -161,7 +161,7 @@
 // explain writes the line of a call that ended without the target's answer, with
 // the load that decided it.
 func (s *Server) explain(c *call, o wharfoutcome.Outcome, load *wharfwire.Load) {
-	if !s.Log.Wants(wharfevents.CallUnserved) {
+	if !s.Log.Enabled(wharfevents.CallUnserved) {
 		return
 	}
 	fields := []wharfevents.Field{
--- a/wharfnode/internal/wharftarget/registry.go
+++ b/wharfnode/internal/wharftarget/registry.go
@@ -23,16 +23,16 @@
 	info       wharfmember.Target
 	gate       *wharfadmission.Gate
 	waiters    map[uint64]chan admission
-	inFlight   map[uint64]flight
+	inFlight   map[uint64]inFlightRequest
 	crashes    int
 	renewed    time.Time
 	leaving    bool
 	configured uint64
-	watch      *wharfsilence.Watch
+	monitor    *wharfsilence.Monitor
 }
 
-// flight is a request that was dispatched to a target.
-type flight struct {
+// inFlightRequest is a request that was dispatched to a target.
+type inFlightRequest struct {
 	fingerprint wharfquarantine.Fingerprint
 	// crashes is the number of crashes before the dispatch.
 	crashes int
@@ -74,10 +74,10 @@
 		info:     info,
 		gate:     wharfadmission.NewGate(g.gateConfig(info.Slots)),
 		waiters:  make(map[uint64]chan admission),
-		inFlight: make(map[uint64]flight),
+		inFlight: make(map[uint64]inFlightRequest),
 		renewed:  now,
 	}
-	t.watch = &wharfsilence.Watch{Address: info.Address, Changed: func(silent bool) { g.changed(t, silent) }}
+	t.monitor = &wharfsilence.Monitor{Address: info.Address, OnChange: func(silent bool) { g.onLivenessChange(t, silent) }}
 	g.targets = append(g.targets, t)
 	return true
 }
@@ -122,7 +122,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.leaving = true
-	t.refuseWaiting(wharfoutcome.ReasonLeaving)
+	t.rejectWaiting(wharfoutcome.ReasonLeaving)
 	return true
 }
 
--- a/wharfnode/internal/wharftarget/silent.go
+++ b/wharfnode/internal/wharftarget/silent.go
@@ -5,14 +5,14 @@
 	"ragwortwharf.dev/wharfnode/wharfevents"
 )
 
-// changed takes note of a target that has fallen silent or answers again. What
+// onLivenessChange takes note of a target that has fallen silent or answers again. What
 // waits for a silent one is sent elsewhere.
-func (g *Registry) changed(t *target, silent bool) {
+func (g *Registry) onLivenessChange(t *target, silent bool) {
 	event := wharfevents.TargetAnswers
 	if silent {
 		event = wharfevents.TargetSilent
 		t.mu.Lock()
-		t.refuseWaiting(wharfoutcome.ReasonTargetSilent)
+		t.rejectWaiting(wharfoutcome.ReasonTargetSilent)
 		t.mu.Unlock()
 	}
 	g.log.Emit(event, wharfevents.Field{Name: "target", Value: t.address})
--- a/wharfnode/internal/wharfview/members.go
+++ b/wharfnode/internal/wharfview/members.go
@@ -15,9 +15,9 @@
 	use(&v.members)
 }
 
-// NodesSeen returns how many nodes this one has ever heard of. Unlike the number
+// KnownNodes returns how many nodes this one has ever heard of. Unlike the number
 // of those alive it isn't less on one side of a cut.
-func (v *View) NodesSeen() int {
+func (v *View) KnownNodes() int {
 	v.membersMu.Lock()
 	defer v.membersMu.Unlock()
 	return v.members.Len()
@@ -38,12 +38,12 @@
 
 // MergeResult says what a merge of entries changed.
 type MergeResult struct {
-	News []wharfmember.Member
+	Changed []wharfmember.Member
 	// Refute says that others believe this node is down or has ended.
 	Refute bool
-	// Outlived says that an entry of this node comes from a later life, so
+	// NewerIncarnation says that an entry of this node comes from a later life, so
 	// this one needs a higher incarnation.
-	Outlived uint64
+	NewerIncarnation uint64
 }
 
 // Merge takes entries from another node. Only this node changes its own entry.
@@ -53,26 +53,26 @@
 	self := v.SelfMember()
 	for _, m := range members {
 		if m.Node == v.node {
-			result.noteSelf(self, m)
+			result.compareSelf(self, m)
 			continue
 		}
 		if v.members.Merge(m) {
-			result.News = append(result.News, m)
+			result.Changed = append(result.Changed, m)
 		}
 	}
 	v.services.Store(int64(v.members.ServiceCount()))
 	v.membersMu.Unlock()
-	if len(result.News) > 0 {
+	if len(result.Changed) > 0 {
 		v.notify()
 	}
 	return result
 }
 
-// noteSelf compares what others believe of this node with the truth.
-func (r *MergeResult) noteSelf(self, heard wharfmember.Member) {
+// compareSelf compares what others believe of this node with the truth.
+func (r *MergeResult) compareSelf(self, heard wharfmember.Member) {
 	switch {
 	case heard.Incarnation > self.Incarnation:
-		r.Outlived = max(r.Outlived, heard.Incarnation)
+		r.NewerIncarnation = max(r.NewerIncarnation, heard.Incarnation)
 	case heard.Incarnation == self.Incarnation && heard.Version >= self.Version && heard.State > self.State:
 		r.Refute = true
 	}
@@ -116,29 +116,29 @@
 	})
 }
 
-// Partners returns the nodes of one round of exchanges: one of those watched,
+// GossipPeers returns the nodes of one round of exchanges: one of those watched,
 // one random node nearby and one of another failure domain.
-func (v *View) Partners(round int, rng *rand.Rand) []wharfmember.Member {
+func (v *View) GossipPeers(round int, rng *rand.Rand) []wharfmember.Member {
 	v.membersMu.Lock()
 	defer v.membersMu.Unlock()
 	var out []wharfmember.Member
-	if watched := v.members.Watched(v.node); len(watched) > 0 {
+	if watched := v.members.Monitored(v.node); len(watched) > 0 {
 		out = append(out, watched[round%len(watched)])
 	}
-	if m, ok := v.members.Nearby(v.node, rng); ok {
+	if m, ok := v.members.RandomLocal(v.node, rng); ok {
 		out = append(out, m)
 	}
-	if m, ok := v.members.Distant(v.node, rng); ok {
+	if m, ok := v.members.RandomRemote(v.node, rng); ok {
 		out = append(out, m)
 	}
 	return out
 }
 
-// Watchers returns how many nodes watch one node.
-func (v *View) Watchers(node string) int {
+// MonitorCount returns how many nodes watch one node.
+func (v *View) MonitorCount(node string) int {
 	v.membersMu.Lock()
 	defer v.membersMu.Unlock()
-	return len(v.members.Watched(node))
+	return len(v.members.Monitored(node))
 }
 
 // Member returns the entry of a node.
--- a/wharfnode/internal/wharfview/view.go
+++ b/wharfnode/internal/wharfview/view.go
@@ -19,14 +19,14 @@
 
 // View is what a node knows.
 type View struct {
-	place wharfrouting.Place
-	node  string
+	locality wharfrouting.Locality
+	node     string
 	// self is the entry of this node, so that the request path reads it without
 	// a lock.
 	self atomic.Pointer[wharfmember.Member]
 
-	state atomic.Pointer[wharfstate.State]
-	fresh atomic.Pointer[time.Time]
+	state       atomic.Pointer[wharfstate.State]
+	confirmedAt atomic.Pointer[time.Time]
 	// version changes with each change of state or members.
 	version atomic.Uint64
 
@@ -46,19 +46,19 @@
 // New returns the view of a node that knows only itself.
 func New(self wharfmember.Member) *View {
 	v := &View{
-		node:    self.Node,
-		place:   wharfrouting.Place{FailureDomain: self.FailureDomain, Region: self.Region},
-		changed: make(chan struct{}),
+		node:     self.Node,
+		locality: wharfrouting.Locality{FailureDomain: self.FailureDomain, Region: self.Region},
+		changed:  make(chan struct{}),
 	}
 	v.self.Store(&self)
-	v.fresh.Store(&time.Time{})
+	v.confirmedAt.Store(&time.Time{})
 	v.members.Merge(self)
 	return v
 }
 
-// Place returns where the node is.
-func (v *View) Place() wharfrouting.Place {
-	return v.place
+// Locality returns where the node is.
+func (v *View) Locality() wharfrouting.Locality {
+	return v.locality
 }
 
 // Self returns the life of this node as an owner of keys.
@@ -102,44 +102,44 @@
 	return v.version.Load()
 }
 
-// Homes returns the ownership of keys and how fresh it is.
-func (v *View) Homes() wharfhome.View {
-	return wharfhome.View{Table: v.State().Homes(), Fresh: *v.fresh.Load()}
+// Ownership returns the ownership of keys and how fresh it is.
+func (v *View) Ownership() wharfhome.OwnershipView {
+	return wharfhome.OwnershipView{Table: v.State().Ownership(), ConfirmedAt: *v.confirmedAt.Load()}
 }
 
-// Horizon returns the bounds on resends that are in force.
-func (v *View) Horizon() wharfhome.Horizon {
+// DedupWindow returns the bounds on resends that are in force.
+func (v *View) DedupWindow() wharfhome.DedupWindow {
 	c := v.Config()
-	return wharfhome.Horizon{Resend: c.ResendHorizon(), Skew: c.ClockSkew(), Staleness: c.HomeStaleness()}
+	return wharfhome.DedupWindow{Resend: c.ResendHorizon(), Skew: c.ClockSkew(), Staleness: c.HomeStaleness()}
 }
 
-// Fresh returns the latest time for which the state is known to be complete.
-func (v *View) Fresh() time.Time {
-	return *v.fresh.Load()
+// ConfirmedAt returns the latest time for which the state is known to be complete.
+func (v *View) ConfirmedAt() time.Time {
+	return *v.confirmedAt.Load()
 }
 
-// ConfirmFresh notes that the log ended at an offset at a time. It has effect
+// Confirm notes that the log ended at an offset at a time. It has effect
 // only if the state has come that far.
-func (v *View) ConfirmFresh(offset uint64, at time.Time) {
+func (v *View) Confirm(offset uint64, at time.Time) {
 	if v.State().Offset() < offset {
 		return
 	}
 	for {
-		old := v.fresh.Load()
-		if !at.After(*old) || v.fresh.CompareAndSwap(old, &at) {
+		old := v.confirmedAt.Load()
+		if !at.After(*old) || v.confirmedAt.CompareAndSwap(old, &at) {
 			return
 		}
 	}
 }
 
-// Expire withdraws all confirmation that the state is complete. A node that
+// ResetConfirmation withdraws all confirmation that the state is complete. A node that
 // was paused does so, and runs no chosen key until it has caught up.
-func (v *View) Expire() {
-	v.fresh.Store(&time.Time{})
+func (v *View) ResetConfirmation() {
+	v.confirmedAt.Store(&time.Time{})
 }
 
-// Fold takes records of the log and reports whether the state advanced.
-func (v *View) Fold(records []wharfstream.Record) bool {
+// Apply takes records of the log and reports whether the state advanced.
+func (v *View) Apply(records []wharfstream.Record) bool {
 	v.stateMu.Lock()
 	defer v.stateMu.Unlock()
 	before := v.state.Load()
@@ -153,8 +153,8 @@
 	return true
 }
 
-// Adopt takes a whole state if it is further than the present one.
-func (v *View) Adopt(s *wharfstate.State) bool {
+// Restore takes a whole state if it is further than the present one.
+func (v *View) Restore(s *wharfstate.State) bool {
 	v.stateMu.Lock()
 	defer v.stateMu.Unlock()
 	if s.Offset() <= v.state.Load().Offset() {
--- a/wharfnode/wharfdialect/dialect.go
+++ b/wharfnode/wharfdialect/dialect.go
@@ -25,15 +25,15 @@
 	Timeout time.Duration
 }
 
-// Callers is how callers are spoken with.
-type Callers interface {
+// CallerProtocol is how callers are spoken with.
+type CallerProtocol interface {
 	// Identify reads what a request says of itself. A reason other than
 	// ReasonNone refuses the request.
 	Identify(r *http.Request) (Request, wharfoutcome.Reason)
 	// Refuse writes an outcome that has no answer of a target.
 	Refuse(w http.ResponseWriter, o wharfoutcome.Outcome)
-	// Complete marks the headers of a target's answer.
-	Complete(h http.Header)
+	// SetResponseHeaders marks the headers of a target's answer.
+	SetResponseHeaders(h http.Header)
 }
 
 // Dispatch is what a target is told with a request.
@@ -45,12 +45,12 @@
 	// if the target told none.
 	Instance string
 	Context  string
-	// Left is the time in which an answer is still of use.
-	Left time.Duration
+	// Remaining is the time in which an answer is still of use.
+	Remaining time.Duration
 }
 
-// Verdict is what an answer of a target means.
-type Verdict struct {
+// Classification is what an answer of a target means.
+type Classification struct {
 	// Kind is Completed for an answer to the request, NotRun if the target says
 	// that it did not run it, and Unknown if the answer belongs to another
 	// request or isn't the target's.
@@ -59,18 +59,18 @@
 	RetryAfter time.Duration
 }
 
-// Targets is how targets are spoken with.
-type Targets interface {
-	// Prepare completes a request to a target.
-	Prepare(r *http.Request, d Dispatch)
-	// Judge decides what an answer means.
-	Judge(answer *http.Response, d Dispatch) Verdict
+// TargetProtocol is how targets are spoken with.
+type TargetProtocol interface {
+	// SetRequestHeaders completes a request to a target.
+	SetRequestHeaders(r *http.Request, d Dispatch)
+	// Classify decides what an answer means.
+	Classify(answer *http.Response, d Dispatch) Classification
 }
 
-// Dialect is how callers and targets are spoken with.
-type Dialect interface {
-	Callers
-	Targets
+// Protocol is how callers and targets are spoken with.
+type Protocol interface {
+	CallerProtocol
+	TargetProtocol
 }
 
 // HostOf returns a host without its port.
--- a/wharfnode/wharfdialect/doc.go
+++ b/wharfnode/wharfdialect/doc.go
@@ -2,6 +2,6 @@
 // headers say what, and how an outcome is written. The decisions of the node
 // know none of it.
 //
-// Own is the project's own dialect. Where callers and targets speak another
+// Native is the project's own dialect. Where callers and targets speak another
 // one, the program that composes the node brings it.
 package wharfdialect
--- a/wharfnode/wharfdialect/own.go
+++ b/wharfnode/wharfdialect/own.go
@@ -17,11 +17,11 @@
 	maxNameLength = 256
 )
 
-// Own is the project's own dialect.
-type Own struct{}
+// Native is the project's own dialect.
+type Native struct{}
 
 // Identify reads the headers of package wharfwire.
-func (Own) Identify(r *http.Request) (Request, wharfoutcome.Reason) {
+func (Native) Identify(r *http.Request) (Request, wharfoutcome.Reason) {
 	q := Request{
 		Service: serviceOf(r),
 		Caller:  r.Header.Get(wharfwire.HeaderCaller),
@@ -57,7 +57,7 @@
 }
 
 // Refuse writes the outcome as headers and as a line of text.
-func (Own) Refuse(w http.ResponseWriter, o wharfoutcome.Outcome) {
+func (Native) Refuse(w http.ResponseWriter, o wharfoutcome.Outcome) {
 	h := w.Header()
 	h.Set(wharfwire.HeaderOutcome, o.Kind.String())
 	h.Set(wharfwire.HeaderReason, string(o.Reason))
@@ -68,23 +68,23 @@
 	WriteOutcome(w, o.HTTPStatus(), o)
 }
 
-// Complete names the outcome.
-func (Own) Complete(h http.Header) {
+// SetResponseHeaders names the outcome.
+func (Native) SetResponseHeaders(h http.Header) {
 	h.Set(wharfwire.HeaderOutcome, wharfoutcome.Completed.String())
 }
 
-// Prepare sets the context and the time that is left.
-func (Own) Prepare(r *http.Request, d Dispatch) {
+// SetRequestHeaders sets the context and the time that is left.
+func (Native) SetRequestHeaders(r *http.Request, d Dispatch) {
 	r.Header.Set(wharfwire.HeaderContext, d.Context)
-	r.Header.Set(wharfwire.HeaderTimeout, strconv.FormatInt(max(d.Left.Milliseconds(), 1), 10))
+	r.Header.Set(wharfwire.HeaderTimeout, strconv.FormatInt(max(d.Remaining.Milliseconds(), 1), 10))
 }
 
-// Judge believes a target that says it did not run the request.
-func (Own) Judge(answer *http.Response, _ Dispatch) Verdict {
+// Classify believes a target that says it did not run the request.
+func (Native) Classify(answer *http.Response, _ Dispatch) Classification {
 	if answer.Header.Get(wharfwire.HeaderOutcome) != wharfoutcome.NotRun.String() {
-		return Verdict{Kind: wharfoutcome.Completed}
+		return Classification{Kind: wharfoutcome.Completed}
 	}
-	v := Verdict{Kind: wharfoutcome.NotRun, Reason: wharfoutcome.Reason(answer.Header.Get(wharfwire.HeaderReason))}
+	v := Classification{Kind: wharfoutcome.NotRun, Reason: wharfoutcome.Reason(answer.Header.Get(wharfwire.HeaderReason))}
 	if v.Reason == wharfoutcome.ReasonNone {
 		v.Reason = wharfoutcome.ReasonOverload
 	}
--- a/wharfnode/wharfevents/catalogue.go
+++ b/wharfnode/wharfevents/catalogue.go
@@ -43,14 +43,14 @@
 
 // Events of targets.
 var (
-	TargetAnnounced = Event{3001, "target-announced", log.InfoLevel, "target announced itself"}
-	TargetLeaving   = Event{3002, "target-leaving", log.InfoLevel, "target is leaving"}
-	TargetExpired   = Event{3003, "target-expired", log.WarnLevel, "target stopped renewing its announcement"}
-	TargetRefused   = Event{3004, "target-refused", log.WarnLevel, "announcement of a target refused"}
-	TargetCrashed   = Event{3005, "target-crashed", log.ErrorLevel, "target broke off with requests in flight"}
-	TargetSilent    = Event{3007, "target-silent", log.WarnLevel, "target answers no request and takes no connection"}
-	TargetAnswers   = Event{3008, "target-answers", log.WarnLevel, "target that was silent takes connections again"}
-	Quarantined     = Event{3006, "request-quarantined", log.ErrorLevel, "request quarantined for crashing targets"}
+	TargetAnnounced    = Event{3001, "target-announced", log.InfoLevel, "target announced itself"}
+	TargetLeaving      = Event{3002, "target-leaving", log.InfoLevel, "target is leaving"}
+	TargetExpired      = Event{3003, "target-expired", log.WarnLevel, "target stopped renewing its announcement"}
+	TargetRefused      = Event{3004, "target-refused", log.WarnLevel, "announcement of a target refused"}
+	TargetCrashed      = Event{3005, "target-crashed", log.ErrorLevel, "target broke off with requests in flight"}
+	TargetSilent       = Event{3007, "target-silent", log.WarnLevel, "target answers no request and takes no connection"}
+	TargetAnswers      = Event{3008, "target-answers", log.WarnLevel, "target that was silent takes connections again"}
+	RequestQuarantined = Event{3006, "request-quarantined", log.ErrorLevel, "request quarantined for crashing targets"}
 )
 
 // Events of configuration and the platform's log.
@@ -69,14 +69,14 @@
 
 // Events of membership and ownership of keys.
 var (
-	MemberDown       = Event{5001, "member-down", log.WarnLevel, "node declared down"}
-	MemberJoined     = Event{5002, "member-joined", log.DebugLevel, "node joined"}
-	Refuted          = Event{5003, "down-refuted", log.WarnLevel, "node refuted that it is down"}
-	OwnershipTaken   = Event{5004, "ownership-taken", log.InfoLevel, "node owns keys of its services"}
-	OwnershipEnded   = Event{5005, "ownership-ended", log.InfoLevel, "node owns no keys any more"}
-	KeysHandedOver   = Event{5006, "keys-handed-over", log.InfoLevel, "records of keys handed over"}
-	HandOverFailed   = Event{5007, "hand-over-failed", log.ErrorLevel, "records of keys couldn't be handed over"}
-	IncarnationMoved = Event{5008, "incarnation-raised", log.WarnLevel, "incarnation raised above an earlier life"}
+	MemberDown        = Event{5001, "member-down", log.WarnLevel, "node declared down"}
+	MemberJoined      = Event{5002, "member-joined", log.DebugLevel, "node joined"}
+	DownRefuted       = Event{5003, "down-refuted", log.WarnLevel, "node refuted that it is down"}
+	OwnershipTaken    = Event{5004, "ownership-taken", log.InfoLevel, "node owns keys of its services"}
+	OwnershipEnded    = Event{5005, "ownership-ended", log.InfoLevel, "node owns no keys any more"}
+	KeysHandedOver    = Event{5006, "keys-handed-over", log.InfoLevel, "records of keys handed over"}
+	HandOverFailed    = Event{5007, "hand-over-failed", log.ErrorLevel, "records of keys couldn't be handed over"}
+	IncarnationRaised = Event{5008, "incarnation-raised", log.WarnLevel, "incarnation raised above an earlier life"}
 
 	NodeSilent           = Event{5010, "node-silent", log.WarnLevel, "node answers no call and takes no connection"}
 	NodeAnswers          = Event{5011, "node-answers", log.WarnLevel, "node that was silent takes connections again"}
@@ -88,10 +88,10 @@
 	NodeStarted, NodeStopping, NodeStopped, StopCutRequests, ListenFailed, PauseNoticed, SettingsReloaded, SettingsRefused,
 	BadRequest, LateAnswer, AnswerIncomplete, DispatchFailed,
 	RequestServed, RequestUnserved, AttemptFailed, CallUnserved,
-	TargetAnnounced, TargetLeaving, TargetExpired, TargetRefused, TargetCrashed, TargetSilent, TargetAnswers, Quarantined,
+	TargetAnnounced, TargetLeaving, TargetExpired, TargetRefused, TargetCrashed, TargetSilent, TargetAnswers, RequestQuarantined,
 	ConfigAdvanced, LogUnavailable, LogAvailable, RecordsExpired,
 	SnapshotWritten, SnapshotAdopted, AppendUncertain, SnapshotRefused, AuditUnavailable, ConfigRefused,
-	MemberDown, MemberJoined, Refuted, OwnershipTaken, OwnershipEnded, KeysHandedOver, HandOverFailed, IncarnationMoved,
+	MemberDown, MemberJoined, DownRefuted, OwnershipTaken, OwnershipEnded, KeysHandedOver, HandOverFailed, IncarnationRaised,
 	DirectoryUnavailable, NodeSilent, NodeAnswers,
 }
 
@@ -108,8 +108,8 @@
 	Value any
 }
 
-// Cause is the error that led to an event.
-func Cause(err error) Field {
+// ErrorField is the error that led to an event.
+func ErrorField(err error) Field {
 	return Field{Name: "error", Value: describe(err)}
 }
 
@@ -134,16 +134,16 @@
 	return text
 }
 
-// Wants reports whether events of this kind are written, so that a caller on the
+// Enabled reports whether events of this kind are written, so that a caller on the
 // path of requests may spare the work of describing one.
-func (l Log) Wants(e Event) bool {
+func (l Log) Enabled(e Event) bool {
 	logger, ok := l.Logger.(*log.Logger)
 	return l.Logger != nil && (!ok || logger.Level <= e.Level)
 }
 
 // Emit writes an event with its details.
 func (l Log) Emit(e Event, fields ...Field) {
-	if !l.Wants(e) {
+	if !l.Enabled(e) {
 		return
 	}
 	all := log.Fields{"event": e.Number, "name": e.Name}
--- a/wharfnode/wharfevents/cause_test.go
+++ b/wharfnode/wharfevents/cause_test.go
@@ -11,8 +11,8 @@
 
 func TestCauseSaysCodeAndDetailsOnly(t *testing.T) {
 	is := is.New(t)
-	is.Equal(Cause(errors.New("no room")).Value, "no room")
+	is.Equal(ErrorField(errors.New("no room")).Value, "no room")
 	err := oops.Code("store-unanswered").With("status", 503).With("cause", "timeout").Errorf("log unavailable")
-	is.Equal(Cause(err).Value, "store-unanswered: log unavailable; cause: timeout; status: 503")
-	is.True(!strings.Contains(Cause(oops.Wrap(err)).Value.(string), ".go:"))
+	is.Equal(ErrorField(err).Value, "store-unanswered: log unavailable; cause: timeout; status: 503")
+	is.True(!strings.Contains(ErrorField(oops.Wrap(err)).Value.(string), ".go:"))
 }
--- a/wharfnode/wharfevents/metrics.go
+++ b/wharfnode/wharfevents/metrics.go
@@ -52,16 +52,16 @@
 	m.set.GetOrCreateCounter(fmt.Sprintf("wharf_dispatches_total{class=%q,outcome=%q,reason=%q}", class, o.Kind, o.Reason)).Inc()
 }
 
-// Control counts the bytes of an exchange with another node.
-func (m Metrics) Control(direction string, bytes int) {
+// ControlBytes counts the bytes of an exchange with another node.
+func (m Metrics) ControlBytes(direction string, bytes int) {
 	if m.set == nil {
 		return
 	}
 	m.set.GetOrCreateCounter(fmt.Sprintf("wharf_control_bytes_total{direction=%q}", direction)).Add(bytes)
 }
 
-// Appends counts records written to the platform's log.
-func (m Metrics) Appends(stream, result string) {
+// LogAppend counts records written to the platform's log.
+func (m Metrics) LogAppend(stream, result string) {
 	if m.set == nil {
 		return
 	}
--- a/wharfnode/wharfserver/admin_test.go
+++ b/wharfnode/wharfserver/admin_test.go
@@ -24,7 +24,7 @@
 	server := m.serve(n, "reads", hello)
 	address := strings.TrimPrefix(server.URL, "http://")
 	id := wharfquarantine.CrashID{Target: "127.0.0.1:1", Incarnation: 3, Number: 1}
-	n.entry.Quarantine.Crash(time.Now(), id, []wharfquarantine.Fingerprint{255})
+	n.entry.Quarantine.RecordCrash(time.Now(), id, []wharfquarantine.Fingerprint{255})
 	tests := []struct {
 		name   string
 		method string
--- a/wharfnode/wharfserver/cut_test.go
+++ b/wharfnode/wharfserver/cut_test.go
@@ -90,7 +90,7 @@
 		{"view of the home not confirmed", func(home, _ *testNode, cut bool) {
 			home.logLink.setCut(cut)
 			if cut {
-				home.view.Expire()
+				home.view.ResetConfirmation()
 			}
 		}},
 	}
--- a/wharfnode/wharfserver/harness_test.go
+++ b/wharfnode/wharfserver/harness_test.go
@@ -201,7 +201,7 @@
 				found = found || target.Address == address
 			}
 			owned := false
-			for _, o := range other.view.State().Homes().Owners(service) {
+			for _, o := range other.view.State().Ownership().Owners(service) {
 				owned = owned || o.Node == n.view.Node()
 			}
 			if !found || !m.log.down.Load() && !owned {
--- a/wharfnode/wharfserver/node.go
+++ b/wharfnode/wharfserver/node.go
@@ -38,8 +38,8 @@
 	idleTimeout = 2 * time.Minute
 	// drainPoll is how often a planned stop looks for requests in flight.
 	drainPoll = 20 * time.Millisecond
-	// spreadTime is what a planned stop gives the others to learn of it.
-	spreadTime = 300 * time.Millisecond
+	// propagationTime is what a planned stop gives the others to learn of it.
+	propagationTime = 300 * time.Millisecond
 )
 
 // Node is one process of the system.
@@ -48,26 +48,26 @@
 	log      wharfevents.Log
 	view     *wharfview.View
 	peers    *wharfpeers.Pool
-	mesh     *wharfmesh.Mesh
+	mesh     *wharfmesh.Agent
 	target   *wharftarget.Server
-	entry    *wharfentry.Entry
+	entry    *wharfentry.Proxy
 	caller   *http.Server
 	admin    *http.Server
 	grpc     *grpc.Server
 	metrics  wharfevents.Metrics
-	parts    Parts
+	parts    Options
 	registry *wharftarget.Registry
 	stopping atomic.Bool
-	// hop carries calls to other nodes, and peer serves what they send.
-	hop  *wharfhop.Client
-	peer *http.Server
+	// transport carries calls to other nodes, and peer serves what they send.
+	transport *wharfhop.Client
+	peer      *http.Server
 }
 
 // nodeService joins the parts that answer other nodes.
 type nodeService struct {
 	wharfwire.UnimplementedNodeServer
 	*wharftarget.Server
-	mesh *wharfmesh.Mesh
+	mesh *wharfmesh.Agent
 }
 
 // Exchange answers the exchange of another node.
@@ -92,11 +92,11 @@
 
 // New puts a node together. Nothing listens yet.
 func New(settings wharfsettings.Settings, log wharfevents.Log) *Node {
-	return Compose(settings, log, Parts{})
+	return NewWithOptions(settings, log, Options{})
 }
 
-// Compose puts a node together from parts that take the place of its own.
-func Compose(settings wharfsettings.Settings, log wharfevents.Log, parts Parts) *Node {
+// NewWithOptions puts a node together from parts that take the place of its own.
+func NewWithOptions(settings wharfsettings.Settings, log wharfevents.Log, parts Options) *Node {
 	parts = parts.withDefaults(settings)
 	self := wharfmember.Member{
 		Node:          settings.NodeID(),
@@ -108,34 +108,34 @@
 	}
 	n := &Node{
 		settings: settings, log: log, parts: parts, view: wharfview.New(self),
-		peers: &wharfpeers.Pool{Own: settings.Advertise, Local: settings.LocalNode()},
+		peers: &wharfpeers.Pool{SelfAddress: settings.Advertise, ListenAddress: settings.LocalNode()},
 	}
 	metrics := wharfevents.NewMetrics()
 	n.metrics = metrics
 	registry := wharftarget.NewRegistry(settings.Variant, log)
 	n.registry = registry
-	ledger, quarantine, keys := &wharfbudget.Ledger{}, &wharfquarantine.List{}, &wharfhome.Keys{}
-	n.mesh = &wharfmesh.Mesh{
+	ledger, quarantine, keys := &wharfbudget.Ledger{}, &wharfquarantine.List{}, &wharfhome.KeyStore{}
+	n.mesh = &wharfmesh.Agent{
 		View: n.view, Peers: n.peers, Platform: parts.Log,
 		Registry: registry, Quarantine: quarantine, Keys: keys, Directory: parts.Directory,
-		KeepsKeys: !parts.WithoutKeys, Readers: parts.Readers, PollWait: parts.PollWait,
+		OwnsKeys: !parts.WithoutKeys, Readers: parts.Readers, PollWait: parts.PollWait,
 		SnapshotInterval: settings.SnapshotInterval, TargetTimeout: settings.TargetTimeout,
 		Log: log, Metrics: metrics,
 	}
 	n.mesh.Prepare()
-	pressure := &wharftarget.Pressure{Enabled: settings.Backpressure}
+	pressure := &wharftarget.BackpressureGuard{Enabled: settings.Backpressure}
 	n.target = &wharftarget.Server{
-		View: n.view, Registry: registry, Pressure: pressure, Ledger: ledger, Quarantine: quarantine, Keys: keys,
-		Consulter: n.mesh, Spreader: n.mesh, Auditor: n.mesh, Dialect: parts.Dialect, CrashedRefuse: parts.CrashedRefuse,
+		View: n.view, Registry: registry, Backpressure: pressure, Ledger: ledger, Quarantine: quarantine, Keys: keys,
+		Consulter: n.mesh, Broadcaster: n.mesh, Auditor: n.mesh, Protocol: parts.Protocol, RefusesAfterCrash: parts.RefusesAfterCrash,
 		Log: log, Metrics: metrics,
 	}
-	n.hop = &wharfhop.Client{Own: settings.Advertise, Receiver: n.target, Log: log}
-	n.entry = &wharfentry.Entry{
-		View: n.view, Hop: n.hop, Pressure: pressure, Ledger: ledger, Quarantine: quarantine, Consulter: n.mesh,
-		Dialect: parts.Dialect, RepeatLimit: settings.RepeatLimit(), Variant: settings.Variant, Log: log, Metrics: metrics,
+	n.transport = &wharfhop.Client{SelfAddress: settings.Advertise, Receiver: n.target, Log: log}
+	n.entry = &wharfentry.Proxy{
+		View: n.view, Transport: n.transport, Backpressure: pressure, Ledger: ledger, Quarantine: quarantine, Consulter: n.mesh,
+		Protocol: parts.Protocol, RepeatLimit: settings.RepeatLimit(), Variant: settings.Variant, Log: log, Metrics: metrics,
 	}
 	api := &wharfadmin.API{
-		View: n.view, Registry: registry, Entry: n.entry, Ledger: ledger, Keys: keys, Quarantine: quarantine,
+		View: n.view, Registry: registry, Proxy: n.entry, Ledger: ledger, Keys: keys, Quarantine: quarantine,
 		Targets: n, Auditor: n.mesh, Log: log, Metrics: metrics,
 	}
 	n.caller = newHTTPServer(n.entry)
@@ -148,7 +148,7 @@
 }
 
 // publish registers the values that are read when metrics are asked for.
-func (n *Node) publish(metrics wharfevents.Metrics, keys *wharfhome.Keys) {
+func (n *Node) publish(metrics wharfevents.Metrics, keys *wharfhome.KeyStore) {
 	metrics.Gauge("wharf_state_offset", func() float64 { return float64(n.view.State().Offset()) })
 	metrics.Gauge("wharf_keys", func() float64 { return float64(keys.Len()) })
 	metrics.Gauge("wharf_key_bytes", func() float64 { return float64(keys.Bytes()) })
@@ -156,7 +156,7 @@
 	if n.log.Dropped != nil {
 		metrics.Gauge("wharf_log_lines_dropped", func() float64 { return float64(n.log.Dropped()) })
 	}
-	metrics.Gauge("wharf_members", func() float64 { return float64(n.view.NodesSeen()) })
+	metrics.Gauge("wharf_members", func() float64 { return float64(n.view.KnownNodes()) })
 }
 
 func newHTTPServer(h http.Handler) *http.Server {
@@ -203,7 +203,7 @@
 	for _, address := range []string{n.settings.CallerListen, n.settings.AdminListen, n.settings.NodeListen} {
 		l, err := wharfsocket.ListenConfig().Listen(ctx, "tcp", address)
 		if err != nil {
-			n.log.Emit(wharfevents.ListenFailed, wharfevents.Cause(err))
+			n.log.Emit(wharfevents.ListenFailed, wharfevents.ErrorField(err))
 			faults = append(faults, oops.Code("listen").Wrap(err))
 			continue
 		}
--- a/wharfnode/wharfserver/once_test.go
+++ b/wharfnode/wharfserver/once_test.go
@@ -142,7 +142,7 @@
 	m.nodes[1].stop()
 	<-m.nodes[1].ended
 	wharftest.Eventually(t, "the move is known", func() bool {
-		return len(m.nodes[0].view.State().Homes().Owners("bookings")) == 1
+		return len(m.nodes[0].view.State().Ownership().Owners("bookings")) == 1
 	})
 	for i := range keys {
 		got := m.nodes[0].send(request{method: "POST", service: "bookings", key: fmt.Sprint("key-", i)})
@@ -176,7 +176,7 @@
 	var e effects
 	m.serve(n, "bookings", e.book)
 	m.log.down.Store(true)
-	n.view.Expire()
+	n.view.ResetConfirmation()
 	got := n.send(request{method: "POST", service: "bookings", key: "k"})
 	is.Equal(got.reason, "home-catching-up")
 	is.Equal(got.outcome, "not-run")
--- a/wharfnode/wharfserver/parts.go
+++ b/wharfnode/wharfserver/parts.go
@@ -28,10 +28,10 @@
 	Remove(ctx context.Context, ended wharfmember.Member) error
 }
 
-// Parts take the place of a node's own. The zero Parts are the node's own.
-type Parts struct {
-	// Dialect is how callers and targets are spoken with.
-	Dialect wharfdialect.Dialect
+// Options take the place of a node's own. The zero Options are the node's own.
+type Options struct {
+	// Protocol is how callers and targets are spoken with.
+	Protocol wharfdialect.Protocol
 	// Log holds the configuration.
 	Log Log
 	// Directory is where nodes find each other.
@@ -39,9 +39,9 @@
 	// WithoutKeys says that callers give no keys of their own, so that their
 	// homes need no records.
 	WithoutKeys bool
-	// CrashedRefuse says that a target which crashed refuses connections for a
+	// RefusesAfterCrash says that a target which crashed refuses connections for a
 	// while.
-	CrashedRefuse bool
+	RefusesAfterCrash bool
 	// Readers is how many nodes of a failure domain read the log.
 	Readers int
 	// PollWait is how long a read waits for records.
@@ -58,9 +58,9 @@
 	defaultPollWait = time.Second
 )
 
-func (p Parts) withDefaults(settings wharfsettings.Settings) Parts {
-	if p.Dialect == nil {
-		p.Dialect = wharfdialect.Own{}
+func (p Options) withDefaults(settings wharfsettings.Settings) Options {
+	if p.Protocol == nil {
+		p.Protocol = wharfdialect.Native{}
 	}
 	if p.Log == nil {
 		p.Log = wharflog.NewClient(settings.LogURL)
--- a/wharfnode/wharfserver/stop.go
+++ b/wharfnode/wharfserver/stop.go
@@ -27,15 +27,15 @@
 	n.drain(ctx)
 	if !n.parts.WithoutKeys {
 		if err := n.release(ctx); err != nil {
-			n.log.Emit(wharfevents.HandOverFailed, wharfevents.Cause(err))
+			n.log.Emit(wharfevents.HandOverFailed, wharfevents.ErrorField(err))
 		}
 	}
 	n.mesh.UpdateSelf(func(m wharfmember.Member) wharfmember.Member { return m.WithState(wharfmember.Left) })
 	// Callers learn only after a while that the node takes no new requests.
-	wharftimer.Sleep(ctx, max(spreadTime, n.parts.Linger-time.Since(began)))
+	wharftimer.Sleep(ctx, max(propagationTime, n.parts.Linger-time.Since(began)))
 	n.shutdown(ctx)
 	n.peers.Close()
-	n.hop.Close()
+	n.transport.Close()
 	n.log.Emit(wharfevents.NodeStopped)
 }
 
@@ -45,7 +45,7 @@
 func (n *Node) release(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, releaseTimeout)
 	defer cancel()
-	return n.mesh.Release(ctx)
+	return n.mesh.ReleaseOwnership(ctx)
 }
 
 // drain waits until the target has nothing in flight.
@@ -56,7 +56,7 @@
 		select {
 		case <-ticker.C:
 		case <-ctx.Done():
-			n.cut()
+			n.logCutRequests()
 			return
 		}
 	}
@@ -65,7 +65,7 @@
 // shutdown closes the listeners and waits for the callers' requests.
 func (n *Node) shutdown(ctx context.Context) {
 	if n.caller.Shutdown(ctx) != nil {
-		n.cut()
+		n.logCutRequests()
 		_ = n.caller.Close()
 	}
 	if n.admin.Shutdown(ctx) != nil {
@@ -75,8 +75,8 @@
 	n.grpc.Stop()
 }
 
-// cut reports that the stop timeout ends requests in flight.
-func (n *Node) cut() {
+// logCutRequests reports that the stop timeout ends requests in flight.
+func (n *Node) logCutRequests() {
 	n.log.Emit(wharfevents.StopCutRequests,
 		wharfevents.Field{Name: "served", Value: n.target.Calls()},
 		wharfevents.Field{Name: "calls", Value: n.entry.Calls()})
--- a/wharfnode/wharfserver/trouble_test.go
+++ b/wharfnode/wharfserver/trouble_test.go
@@ -270,7 +270,7 @@
 	var e effects
 	m.serve(n, "bookings", e.book)
 	is.Equal(n.send(request{method: "POST", service: "bookings", key: "k"}).status, 200)
-	is.Equal(len(n.view.State().Homes().Owners("bookings")), 1)
+	is.Equal(len(n.view.State().Ownership().Owners("bookings")), 1)
 }
 
 // TestOverloadShedsTheLeastImportant fills a target with work of a low class
--- a/wharfnode/wharfsettings/settings.go
+++ b/wharfnode/wharfsettings/settings.go
@@ -68,8 +68,8 @@
 }
 
 // Check reports all faults of the settings.
-func (s *Settings) Check() wharfcli.Faults {
-	var f wharfcli.Faults
+func (s *Settings) Check() wharfcli.Issues {
+	var f wharfcli.Issues
 	f.Address("caller-listen", s.CallerListen)
 	f.Address("node-listen", s.NodeListen)
 	f.Address("admin-listen", s.AdminListen)
--- a/wharfstandin/internal/wharfload/plan.go
+++ b/wharfstandin/internal/wharfload/plan.go
@@ -42,8 +42,8 @@
 	return classes, nil
 }
 
-// Trouble is what happens to the system in the middle of a run.
-type Trouble struct {
+// Disruption is what happens to the system in the middle of a run.
+type Disruption struct {
 	At  time.Duration
 	For time.Duration
 	// Surge multiplies the rate.
@@ -57,22 +57,22 @@
 }
 
 // active reports whether the trouble lasts at a time of the run.
-func (t Trouble) active(at time.Duration) bool {
+func (t Disruption) active(at time.Duration) bool {
 	return t.For > 0 && at >= t.At && at < t.At+t.For
 }
 
 // Plan describes a run.
 type Plan struct {
-	Name     string
-	Entries  []string
-	Service  string
-	Classes  []Class
-	Rate     float64
-	Duration time.Duration
-	Timeout  time.Duration
-	Resends  int
-	Polite   bool
-	Keys     bool
-	Trouble  Trouble
-	Targets  []string
+	Name       string
+	Entries    []string
+	Service    string
+	Classes    []Class
+	Rate       float64
+	Duration   time.Duration
+	Timeout    time.Duration
+	Resends    int
+	Polite     bool
+	Keys       bool
+	Disruption Disruption
+	Targets    []string
 }
--- a/wharfstandin/internal/wharfload/report.go
+++ b/wharfstandin/internal/wharfload/report.go
@@ -42,10 +42,10 @@
 	RecoverySeconds *float64 `json:"recovery-seconds,omitempty"`
 	// CapacityShare is the goodput during the trouble, relative to what the
 	// capacity left allows.
-	CapacityShare *float64 `json:"capacity-share,omitempty"`
-	ForeignAnswer int      `json:"foreign-answers"`
-	Dropped       int      `json:"dropped-by-generator"`
-	Reasons       []Count  `json:"failures-by-reason"`
+	CapacityShare    *float64 `json:"capacity-share,omitempty"`
+	ForeignResponses int      `json:"foreign-answers"`
+	Dropped          int      `json:"dropped-by-generator"`
+	Reasons          []Count  `json:"failures-by-reason"`
 }
 
 // Count is a number with its name.
@@ -87,7 +87,7 @@
 
 // spans divides the run into before, during and after the trouble.
 func (g *generator) spans() (before, during, after span) {
-	t := g.plan.Trouble
+	t := g.plan.Disruption
 	if t.For == 0 {
 		return span{settle, g.plan.Duration}, span{}, span{}
 	}
@@ -104,7 +104,7 @@
 	sends := 0
 	for _, x := range g.results {
 		sends += x.sends
-		r.ForeignAnswer += x.foreign
+		r.ForeignResponses += x.foreign
 		if !x.ok {
 			r.count(x.reason)
 		}
@@ -113,12 +113,12 @@
 	n := float64(max(len(g.results), 1))
 	r.SendsPerRequest = float64(sends) / n
 	r.AttemptsPerRequest = float64(arrivals) / n
-	if g.plan.Trouble.For > 0 {
+	if g.plan.Disruption.For > 0 {
 		seconds := g.recovery(r.Total.Before)
 		r.RecoverySeconds = &seconds
 	}
-	if g.plan.Trouble.Capacity > 0 {
-		share := r.Total.During / g.plan.Trouble.Capacity
+	if g.plan.Disruption.Capacity > 0 {
+		share := r.Total.During / g.plan.Disruption.Capacity
 		r.CapacityShare = &share
 	}
 	return r
@@ -170,7 +170,7 @@
 // recovery returns the seconds from the end of the trouble until a window
 // begins in which goodput is back.
 func (g *generator) recovery(before float64) float64 {
-	end := g.plan.Trouble.At + g.plan.Trouble.For
+	end := g.plan.Disruption.At + g.plan.Disruption.For
 	for at := end; at+recoveryWindow <= g.plan.Duration; at += recoverySlot {
 		window := span{at, at + recoveryWindow}
 		n := 0
@@ -197,7 +197,7 @@
 	}
 	_ = t.Flush()
 	_, _ = fmt.Fprintf(w, "attempts per request %.2f, sends per request %.2f, foreign answers %d, dropped by generator %d\n",
-		r.AttemptsPerRequest, r.SendsPerRequest, r.ForeignAnswer, r.Dropped)
+		r.AttemptsPerRequest, r.SendsPerRequest, r.ForeignResponses, r.Dropped)
 	if r.RecoverySeconds != nil {
 		_, _ = fmt.Fprintf(w, "recovery %.1f s (negative: not within the run)\n", *r.RecoverySeconds)
 	}
--- a/wharfstandin/internal/wharfload/request.go
+++ b/wharfstandin/internal/wharfload/request.go
@@ -63,7 +63,7 @@
 	defer func() { _ = response.Body.Close() }()
 	body, err := io.ReadAll(response.Body)
 	if response.StatusCode == http.StatusOK {
-		r.ok = err == nil && wharftargetservice.IsWhole(body, u.tag)
+		r.ok = err == nil && wharftargetservice.IsComplete(body, u.tag)
 		if !r.ok {
 			r.reason = "answer-broken"
 		}
--- a/wharfstandin/internal/wharfload/run.go
+++ b/wharfstandin/internal/wharfload/run.go
@@ -72,13 +72,13 @@
 		if at >= g.plan.Duration {
 			break
 		}
-		if active := g.plan.Trouble.active(at); active != troubled {
+		if active := g.plan.Disruption.active(at); active != troubled {
 			troubled = active
 			g.slow(ctx, active)
 		}
 		rate := g.plan.Rate
 		if troubled {
-			rate *= g.plan.Trouble.Surge
+			rate *= g.plan.Disruption.Surge
 		}
 		u := &userRequest{generator: g, class: g.pick(), number: n}
 		if _, ok := pool.TrySubmit(func() { g.add(u.run(ctx)) }); !ok {
@@ -123,11 +123,11 @@
 
 // slow changes the service time of the slow targets.
 func (g *generator) slow(ctx context.Context, active bool) {
-	ms := g.plan.Trouble.SlowFromMs
+	ms := g.plan.Disruption.SlowFromMs
 	if active {
-		ms = g.plan.Trouble.SlowToMs
+		ms = g.plan.Disruption.SlowToMs
 	}
-	for _, url := range g.plan.Trouble.Slow {
+	for _, url := range g.plan.Disruption.Slow {
 		// A stand-in that is gone shows in the report.
 		_, _ = g.control.R().SetContext(ctx).SetBody(wharftargetservice.Control{ServiceTimeMs: &ms}).Put(url + "/standin/control")
 	}
--- a/wharfstandin/internal/wharflogservice/service.go
+++ b/wharfstandin/internal/wharflogservice/service.go
@@ -60,11 +60,11 @@
 
 // Append adds a record, if the faults and the rate limit let it.
 func (s *Service) Append(ctx context.Context, stream string, data []byte) (uint64, error) {
-	if err := s.trouble(); err != nil {
+	if err := s.injectFaults(); err != nil {
 		return 0, err
 	}
 	if !s.take() {
-		return 0, wharfstream.ErrTooFast
+		return 0, wharfstream.ErrRateLimited
 	}
 	offset, err := s.log.Append(ctx, stream, data)
 	if err == nil && s.loses() {
@@ -75,14 +75,14 @@
 
 // Read returns records, if the faults let it.
 func (s *Service) Read(ctx context.Context, stream string, from uint64, limit int, wait time.Duration) (wharfstream.Batch, error) {
-	if err := s.trouble(); err != nil {
+	if err := s.injectFaults(); err != nil {
 		return wharfstream.Batch{}, err
 	}
 	return s.log.Read(ctx, stream, from, limit, wait)
 }
 
-// trouble lets the faults act on a call.
-func (s *Service) trouble() error {
+// injectFaults lets the faults act on a call.
+func (s *Service) injectFaults() error {
 	s.mu.Lock()
 	f := s.faults
 	s.mu.Unlock()
--- a/wharfstandin/internal/wharflogservice/service_test.go
+++ b/wharfstandin/internal/wharflogservice/service_test.go
@@ -30,7 +30,7 @@
 		{"down", `{"down":true}`, 100, wharfstream.ErrUnavailable, 0},
 		{"slow", `{"slow-ms":20}`, 100, nil, 2},
 		{"answers lost", `{"lose-answers":2}`, 100, wharfstream.ErrUncertain, 2},
-		{"too fast", `{}`, 0.001, wharfstream.ErrTooFast, 0},
+		{"too fast", `{}`, 0.001, wharfstream.ErrRateLimited, 0},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
--- a/wharfstandin/internal/wharftargetservice/target.go
+++ b/wharfstandin/internal/wharftargetservice/target.go
@@ -67,8 +67,8 @@
 type Control struct {
 	ServiceTimeMs *float64 `json:"service-time-ms,omitempty"`
 	Slots         *int     `json:"slots,omitempty"`
-	// FalseSlots is what the target announces from now on.
-	FalseSlots *int `json:"false-slots,omitempty"`
+	// AnnouncedSlots is what the target announces from now on.
+	AnnouncedSlots *int `json:"false-slots,omitempty"`
 	// Silent stops the announcements.
 	Silent *bool `json:"silent,omitempty"`
 }
@@ -193,8 +193,8 @@
 	if c.Slots != nil {
 		t.free = slots(*c.Slots)
 	}
-	if c.FalseSlots != nil {
-		t.announced = *c.FalseSlots
+	if c.AnnouncedSlots != nil {
+		t.announced = *c.AnnouncedSlots
 	}
 	if c.Silent != nil {
 		t.silent = *c.Silent
@@ -349,8 +349,8 @@
 	}
 }
 
-// IsWhole reports whether an answer is that of a request with a tag.
-func IsWhole(body []byte, tag string) bool {
+// IsComplete reports whether an answer is that of a request with a tag.
+func IsComplete(body []byte, tag string) bool {
 	text := string(body)
 	first, _, _ := strings.Cut(text, "\n")
 	return strings.HasSuffix(first, " "+tag) && strings.HasSuffix(text, "\n"+tag+"\n")
--- a/wharfstandin/load.go
+++ b/wharfstandin/load.go
@@ -36,7 +36,7 @@
 
 // Run runs the load to its end, or to that of the context.
 func (c *loadCommand) Run(ctx context.Context) error {
-	var faults wharfcli.Faults
+	var faults wharfcli.Issues
 	for _, e := range c.Entries {
 		faults.URL("entries", e)
 	}
@@ -54,7 +54,7 @@
 	plan := wharfload.Plan{
 		Name: c.Name, Entries: c.Entries, Service: c.Service, Classes: classes, Rate: c.Rate, Duration: c.Duration,
 		Timeout: c.Timeout, Resends: c.Resends, Polite: c.Polite, Keys: c.Keys,
-		Trouble: wharfload.Trouble{
+		Disruption: wharfload.Disruption{
 			At: c.TroubleAt, For: c.TroubleFor, Surge: c.Surge,
 			Slow: c.Slow, SlowFromMs: c.SlowFrom, SlowToMs: c.SlowTo, Capacity: c.Capacity,
 		},
--- a/wharfstandin/log.go
+++ b/wharfstandin/log.go
@@ -18,7 +18,7 @@
 
 // Run serves until the context ends.
 func (c *logCommand) Run(ctx context.Context) error {
-	var faults wharfcli.Faults
+	var faults wharfcli.Issues
 	faults.Address("listen", c.Listen)
 	faults.AtLeast("retention", c.Retention, time.Second)
 	if len(faults) > 0 {
--- a/wharfstandin/spread.go
+++ b/wharfstandin/spread.go
@@ -20,7 +20,7 @@
 
 // Run publishes changes one by one and prints how long each took.
 func (c *spreadCommand) Run(ctx context.Context) error {
-	var faults wharfcli.Faults
+	var faults wharfcli.Issues
 	faults.URL("log-url", c.LogURL)
 	for _, n := range c.Nodes {
 		faults.URL("nodes", n)
--- a/wharfstandin/target.go
+++ b/wharfstandin/target.go
@@ -28,7 +28,7 @@
 
 // Run serves until the context ends, and then leaves as planned.
 func (c *targetCommand) Run(ctx context.Context) error {
-	var faults wharfcli.Faults
+	var faults wharfcli.Issues
 	faults.Address("listen", c.Listen)
 	faults.URL("node-admin", c.NodeAdmin)
 	faults.URL("node-caller", c.NodeCaller)
