--- a/wharf/internal/wharfpurity/purity_test.go
+++ b/wharf/internal/wharfpurity/purity_test.go
@@ -14,7 +14,7 @@
 // decisions lists the packages that decide and do nothing else.
 var decisions = []string{
 	"wharfoutcome", "wharfconfig", "wharfselector", "wharfbudget", "wharfadmission", "wharfrouting",
-	"wharfhome", "wharfmember", "wharfquarantine", "wharfroute", "wharfstream", "wharfstate",
+	"wharfidempotency", "wharfmember", "wharfquarantine", "wharfroute", "wharfstream", "wharfstate",
 }
 
 // allowedImports lists the packages that may be imported although their path
--- a/wharf/wharfhome/doc.go
+++ b/wharf/wharfidempotency/doc.go
@@ -1,4 +1,4 @@
-// Package wharfhome decides which node may run a request that must take
+// Package wharfidempotency decides which node may run a request that must take
 // effect at most once, and remembers what became of it.
 //
 // An OwnershipTable is the fold of the ownership records in the platform's log. It names
@@ -12,4 +12,4 @@
 // only bound how long callers may resend.
 //
 // The package is pure. The target side of the node carries out its decisions.
-package wharfhome
+package wharfidempotency
--- a/wharf/wharfhome/keys.go
+++ b/wharf/wharfidempotency/keys.go
@@ -1,4 +1,4 @@
-package wharfhome
+package wharfidempotency
 
 import (
 	"time"
--- a/wharf/wharfstate/capacity_test.go
+++ b/wharf/wharfstate/capacity_test.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"ragwortwharf.dev/wharf/wharfconfig"
-	"ragwortwharf.dev/wharf/wharfhome"
+	"ragwortwharf.dev/wharf/wharfidempotency"
 	"ragwortwharf.dev/wharf/wharfstream"
 )
 
@@ -73,7 +73,7 @@
 			s := stateWithRules(b, n/2)
 			var homes []wharfstream.Record
 			for i := range n {
-				r := wharfhome.OwnershipRecord{Kind: wharfhome.Announce, Node: fmt.Sprintf("domain-%d/10.0.0.%d:7001", i%6, i), Incarnation: 1, Address: "10.0.0.1:7001", Services: []string{fmt.Sprint("service-", i%1900)}}
+				r := wharfidempotency.OwnershipRecord{Kind: wharfidempotency.Announce, Node: fmt.Sprintf("domain-%d/10.0.0.%d:7001", i%6, i), Incarnation: 1, Address: "10.0.0.1:7001", Services: []string{fmt.Sprint("service-", i%1900)}}
 				homes = append(homes, wharfstream.Record{Offset: s.Offset() + uint64(i+1), Data: encode(b, Envelope{Ownership: &r})})
 			}
 			s = s.WithRecords(homes)
--- a/wharf/wharfstate/envelope.go
+++ b/wharf/wharfstate/envelope.go
@@ -10,7 +10,7 @@
 	"github.com/samber/oops"
 
 	"ragwortwharf.dev/wharf/wharfconfig"
-	"ragwortwharf.dev/wharf/wharfhome"
+	"ragwortwharf.dev/wharf/wharfidempotency"
 	"ragwortwharf.dev/wharf/wharfroute"
 	"ragwortwharf.dev/wharf/wharfstream"
 )
@@ -23,9 +23,9 @@
 
 // Envelope is the form of a record in the log. Exactly one field is set.
 type Envelope struct {
-	Change    *wharfconfig.Change        `json:"change,omitempty"`
-	Ownership *wharfhome.OwnershipRecord `json:"home,omitempty"`
-	Snapshot  []byte                     `json:"snapshot,omitempty"`
+	Change    *wharfconfig.Change               `json:"change,omitempty"`
+	Ownership *wharfidempotency.OwnershipRecord `json:"home,omitempty"`
+	Snapshot  []byte                            `json:"snapshot,omitempty"`
 	// Routes is a whole set of routes. It takes the place of all earlier ones,
 	// so records that are missing before it don't matter.
 	Routes *wharfroute.Set `json:"routes,omitempty"`
@@ -47,11 +47,11 @@
 
 // saved is the stored form of a state.
 type saved struct {
-	Offset    uint64            `json:"offset"`
-	Time      time.Time         `json:"time"`
-	Config    wharfconfig.Saved `json:"config"`
-	Ownership wharfhome.Saved   `json:"homes"`
-	Routes    *wharfroute.Set   `json:"routes,omitempty"`
+	Offset    uint64                 `json:"offset"`
+	Time      time.Time              `json:"time"`
+	Config    wharfconfig.Saved      `json:"config"`
+	Ownership wharfidempotency.Saved `json:"homes"`
+	Routes    *wharfroute.Set        `json:"routes,omitempty"`
 }
 
 // Save returns the compressed stored form of a state.
@@ -94,7 +94,7 @@
 		state.config = wharfconfig.Load(form.Config)
 	}
 	if !form.Ownership.Empty() {
-		state.ownership = wharfhome.Load(form.Ownership)
+		state.ownership = wharfidempotency.Load(form.Ownership)
 	}
 	if form.Routes != nil {
 		state.routes = wharfroute.NewTable(*form.Routes)
--- a/wharf/wharfstate/state.go
+++ b/wharf/wharfstate/state.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"ragwortwharf.dev/wharf/wharfconfig"
-	"ragwortwharf.dev/wharf/wharfhome"
+	"ragwortwharf.dev/wharf/wharfidempotency"
 	"ragwortwharf.dev/wharf/wharfroute"
 	"ragwortwharf.dev/wharf/wharfstream"
 )
@@ -15,7 +15,7 @@
 	offset    uint64
 	time      time.Time
 	config    *wharfconfig.Snapshot
-	ownership *wharfhome.OwnershipTable
+	ownership *wharfidempotency.OwnershipTable
 	routes    *wharfroute.Table
 	// snapshotOffset is where the last snapshot record stands.
 	snapshotOffset uint64
@@ -46,7 +46,7 @@
 }
 
 // Ownership returns the ownership of keys.
-func (s *State) Ownership() *wharfhome.OwnershipTable {
+func (s *State) Ownership() *wharfidempotency.OwnershipTable {
 	if s == nil {
 		return nil
 	}
@@ -125,7 +125,7 @@
 	time             time.Time
 	snapshotOffset   uint64
 	changes          []wharfconfig.LoggedChange
-	ownershipRecords []wharfhome.LoggedRecord
+	ownershipRecords []wharfidempotency.LoggedRecord
 	routes           *wharfroute.Set
 }
 
@@ -137,7 +137,7 @@
 	case e.Change != nil:
 		f.changes = append(f.changes, wharfconfig.LoggedChange{Change: *e.Change, Offset: r.Offset, Time: r.Time})
 	case e.Ownership != nil:
-		f.ownershipRecords = append(f.ownershipRecords, wharfhome.LoggedRecord{Record: *e.Ownership, Offset: r.Offset, Time: r.Time})
+		f.ownershipRecords = append(f.ownershipRecords, wharfidempotency.LoggedRecord{Record: *e.Ownership, Offset: r.Offset, Time: r.Time})
 	case e.Routes != nil:
 		f.addRoutes(e.Routes)
 	case e.Snapshot != nil:
--- a/wharf/wharfstate/state_test.go
+++ b/wharf/wharfstate/state_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 
 	"ragwortwharf.dev/wharf/wharfconfig"
-	"ragwortwharf.dev/wharf/wharfhome"
+	"ragwortwharf.dev/wharf/wharfidempotency"
 	"ragwortwharf.dev/wharf/wharfstream"
 
 	_ "ragwortwharf.dev/wharf/internal/wharfseed"
@@ -34,7 +34,7 @@
 			doc := &wharfconfig.Document{Kind: wharfconfig.KindClass, Name: fmt.Sprint("c", i), Rank: i % wharfconfig.MaxRank}
 			e.Change = &wharfconfig.Change{ID: fmt.Sprint(i), Edits: []wharfconfig.Edit{{Key: doc.Key(), Document: doc}}}
 		case 2:
-			e.Ownership = &wharfhome.OwnershipRecord{Kind: wharfhome.Announce, Node: fmt.Sprint("n", i%7), Incarnation: uint64(i), Services: []string{"s"}}
+			e.Ownership = &wharfidempotency.OwnershipRecord{Kind: wharfidempotency.Announce, Node: fmt.Sprint("n", i%7), Incarnation: uint64(i), Services: []string{"s"}}
 		case 3:
 			covered := (*State)(nil).WithRecords(records[:max(len(records)-2, 0)])
 			data, err := covered.Save()
--- a/wharfctl/audit.go
+++ b/wharfctl/audit.go
@@ -9,7 +9,7 @@
 	"strings"
 	"time"
 
-	"ragwortwharf.dev/wharf/wharfhome"
+	"ragwortwharf.dev/wharf/wharfidempotency"
 	"ragwortwharf.dev/wharf/wharfstate"
 	"ragwortwharf.dev/wharf/wharfstream"
 )
@@ -74,7 +74,7 @@
 			continue
 		}
 		who := e.Ownership.Node
-		if e.Ownership.Kind == wharfhome.Evict {
+		if e.Ownership.Kind == wharfidempotency.Evict {
 			who = e.Ownership.By + " for " + e.Ownership.Node
 		}
 		out = append(out, auditLine{r.Time, fmt.Sprintf("%s: ownership %s at offset %d", who, e.Ownership.Kind, r.Offset)})
--- a/wharfctl/internal/wharfpublish/publisher.go
+++ b/wharfctl/internal/wharfpublish/publisher.go
@@ -10,7 +10,7 @@
 	"github.com/samber/oops"
 
 	"ragwortwharf.dev/wharf/wharfconfig"
-	"ragwortwharf.dev/wharf/wharfhome"
+	"ragwortwharf.dev/wharf/wharfidempotency"
 	"ragwortwharf.dev/wharf/wharfstate"
 	"ragwortwharf.dev/wharf/wharfstream"
 	"ragwortwharf.dev/wharf/wharftimer"
@@ -156,7 +156,7 @@
 	if !ok {
 		return oops.Code("not-owner").Errorf("node %s owns no keys", node)
 	}
-	record := wharfhome.OwnershipRecord{Kind: wharfhome.Evict, Node: node, Incarnation: owner.Incarnation, By: author}
+	record := wharfidempotency.OwnershipRecord{Kind: wharfidempotency.Evict, Node: node, Incarnation: owner.Incarnation, By: author}
 	data, err := wharfstate.Envelope{Ownership: &record}.Encode()
 	if err != nil {
 		return err
@@ -165,7 +165,7 @@
 	return err
 }
 
-func ownerOf(s *wharfstate.State, node string) (wharfhome.Owner, bool) {
+func ownerOf(s *wharfstate.State, node string) (wharfidempotency.Owner, bool) {
 	for _, h := range s.Ownership().Save().Services {
 		for _, o := range s.Ownership().Owners(h.Service) {
 			if o.Node == node {
@@ -173,7 +173,7 @@
 			}
 		}
 	}
-	return wharfhome.Owner{}, false
+	return wharfidempotency.Owner{}, false
 }
 
 // Records reads a whole stream, as far as it is kept.
--- a/wharfnode/internal/wharfadmin/api.go
+++ b/wharfnode/internal/wharfadmin/api.go
@@ -10,11 +10,11 @@
 
 	"ragwortwharf.dev/wharf/wharfbudget"
 	"ragwortwharf.dev/wharf/wharfconfig"
-	"ragwortwharf.dev/wharf/wharfhome"
+	"ragwortwharf.dev/wharf/wharfidempotency"
 	"ragwortwharf.dev/wharf/wharfmember"
 	"ragwortwharf.dev/wharf/wharfquarantine"
 	"ragwortwharf.dev/wharf/wharfselector"
-	"ragwortwharf.dev/wharfnode/internal/wharfentry"
+	"ragwortwharf.dev/wharfnode/internal/wharfproxy"
 	"ragwortwharf.dev/wharfnode/internal/wharftarget"
 	"ragwortwharf.dev/wharfnode/internal/wharfview"
 	"ragwortwharf.dev/wharfnode/wharfevents"
@@ -36,9 +36,9 @@
 type API struct {
 	View       *wharfview.View
 	Registry   *wharftarget.Registry
-	Proxy      *wharfentry.Proxy
+	Proxy      *wharfproxy.Proxy
 	Ledger     *wharfbudget.Ledger
-	Keys       *wharfhome.KeyStore
+	Keys       *wharfidempotency.KeyStore
 	Quarantine *wharfquarantine.List
 	Targets    targetKeeper
 	Auditor    auditor
--- a/wharfnode/internal/wharfmesh/mesh.go
+++ b/wharfnode/internal/wharfcluster/agent.go
@@ -1,4 +1,4 @@
-package wharfmesh
+package wharfcluster
 
 import (
 	"context"
@@ -8,7 +8,7 @@
 
 	"github.com/alitto/pond/v2"
 
-	"ragwortwharf.dev/wharf/wharfhome"
+	"ragwortwharf.dev/wharf/wharfidempotency"
 	"ragwortwharf.dev/wharf/wharfmember"
 	"ragwortwharf.dev/wharf/wharfquarantine"
 	"ragwortwharf.dev/wharf/wharfstream"
@@ -46,7 +46,7 @@
 	Platform   logClient
 	Registry   *wharftarget.Registry
 	Quarantine *wharfquarantine.List
-	Keys       *wharfhome.KeyStore
+	Keys       *wharfidempotency.KeyStore
 	Directory  directory
 	// OwnsKeys says that this node is a home of keys that callers chose.
 	OwnsKeys bool
--- a/wharfnode/internal/wharfmesh/doc.go
+++ b/wharfnode/internal/wharfcluster/doc.go
@@ -1,4 +1,4 @@
-// Package wharfmesh is how the nodes act together: it spreads configuration
+// Package wharfcluster is how the nodes act together: it spreads configuration
 // and members between them, follows the platform's log, and keeps the
 // ownership of keys in step with the targets of this node.
 //
@@ -8,4 +8,4 @@
 // themselves only when nothing has confirmed their state for long. Records of
 // this node go to the log through ownership.go, snapshot.go and audit.go.
 // registration.go keeps the directory in step, where nodes find each other.
-package wharfmesh
+package wharfcluster
--- a/wharfnode/internal/wharfmesh/exchange.go
+++ b/wharfnode/internal/wharfcluster/exchange.go
@@ -1,4 +1,4 @@
-package wharfmesh
+package wharfcluster
 
 import (
 	"context"
@@ -6,7 +6,7 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"ragwortwharf.dev/wharf/wharfhome"
+	"ragwortwharf.dev/wharf/wharfidempotency"
 	"ragwortwharf.dev/wharf/wharfmember"
 	"ragwortwharf.dev/wharf/wharfstate"
 	"ragwortwharf.dev/wharf/wharfstream"
@@ -259,22 +259,22 @@
 }
 
 // Consult asks a life of a node about a key, which closes the key there.
-func (m *Agent) Consult(ctx context.Context, owner wharfhome.Owner, id wharfhome.KeyID) (wharfhome.KeyEntry, error) {
+func (m *Agent) Consult(ctx context.Context, owner wharfidempotency.Owner, id wharfidempotency.KeyID) (wharfidempotency.KeyEntry, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	client, err := m.Peers.Client(owner.Address)
 	if err != nil {
-		return wharfhome.KeyEntry{}, err
+		return wharfidempotency.KeyEntry{}, err
 	}
 	r, err := client.Consult(ctx, &wharfwire.ConsultRequest{
 		Service: id.Service, Caller: id.Caller, Key: id.Key, Incarnation: owner.Incarnation,
 		StateOffset: m.View.State().Offset(),
 	})
 	if err != nil {
-		return wharfhome.KeyEntry{}, err
+		return wharfidempotency.KeyEntry{}, err
 	}
-	return wharfhome.KeyEntry{
-		State:       wharfhome.State(r.GetState()),
+	return wharfidempotency.KeyEntry{
+		State:       wharfidempotency.State(r.GetState()),
 		Fingerprint: r.GetFingerprint(),
 		Response:    wharftarget.UnpackResponse(r.GetAnswer()),
 	}, nil
--- a/wharfnode/internal/wharfmesh/ownership.go
+++ b/wharfnode/internal/wharfcluster/ownership.go
@@ -1,4 +1,4 @@
-package wharfmesh
+package wharfcluster
 
 import (
 	"context"
@@ -7,7 +7,7 @@
 
 	"github.com/samber/oops"
 
-	"ragwortwharf.dev/wharf/wharfhome"
+	"ragwortwharf.dev/wharf/wharfidempotency"
 	"ragwortwharf.dev/wharf/wharfmember"
 	"ragwortwharf.dev/wharf/wharfstate"
 	"ragwortwharf.dev/wharf/wharftimer"
@@ -66,8 +66,8 @@
 
 func (o *ownership) announce(ctx context.Context, services []string) bool {
 	self := o.mesh.View.Self()
-	record := wharfhome.OwnershipRecord{
-		Kind: wharfhome.Announce, Node: self.Node, Incarnation: self.Incarnation,
+	record := wharfidempotency.OwnershipRecord{
+		Kind: wharfidempotency.Announce, Node: self.Node, Incarnation: self.Incarnation,
 		Address: self.Address, Services: services,
 	}
 	if !o.mesh.appendOwnership(ctx, record, func() bool { return isSubset(services, o.mesh.owned()) }) {
@@ -105,7 +105,7 @@
 
 // appendOwnership writes an ownership record and waits until it shows in the state.
 // Writing it twice does no harm, so a lost answer is simply tried again.
-func (m *Agent) appendOwnership(ctx context.Context, record wharfhome.OwnershipRecord, folded func() bool) bool {
+func (m *Agent) appendOwnership(ctx context.Context, record wharfidempotency.OwnershipRecord, folded func() bool) bool {
 	data, err := wharfstate.Envelope{Ownership: &record}.Encode()
 	if err != nil {
 		return false
@@ -150,7 +150,7 @@
 		return nil
 	}
 	self := m.View.Self()
-	record := wharfhome.OwnershipRecord{Kind: wharfhome.Release, Node: self.Node, Incarnation: self.Incarnation}
+	record := wharfidempotency.OwnershipRecord{Kind: wharfidempotency.Release, Node: self.Node, Incarnation: self.Incarnation}
 	for !m.appendOwnership(ctx, record, func() bool { return len(m.owned()) == 0 }) {
 		if ctx.Err() != nil {
 			return oops.Code("release").Errorf("the release could not be written to the log in time")
@@ -160,7 +160,7 @@
 	if err := m.handOver(ctx); err != nil {
 		return err
 	}
-	record.Kind = wharfhome.HandedOver
+	record.Kind = wharfidempotency.HandedOver
 	data, err := wharfstate.Envelope{Ownership: &record}.Encode()
 	if err != nil {
 		return err
@@ -211,7 +211,7 @@
 	return nil
 }
 
-func packKey(now time.Time, x wharfhome.ExportedKey) *wharfwire.KeyRecord {
+func packKey(now time.Time, x wharfidempotency.ExportedKey) *wharfwire.KeyRecord {
 	return &wharfwire.KeyRecord{
 		Service: x.ID.Service, Caller: x.ID.Caller, Key: x.ID.Key,
 		State: uint32(x.Entry.State), Fingerprint: x.Entry.Fingerprint,
--- a/wharfnode/internal/wharfmesh/pack.go
+++ b/wharfnode/internal/wharfcluster/pack.go
@@ -1,4 +1,4 @@
-package wharfmesh
+package wharfcluster
 
 import (
 	"time"
--- a/wharfnode/internal/wharfsilence/watch_test.go
+++ b/wharfnode/internal/wharfliveness/monitor_test.go
@@ -1,4 +1,4 @@
-package wharfsilence
+package wharfliveness
 
 import (
 	"context"
--- a/wharfnode/internal/wharfprocess/cluster_test.go
+++ b/wharfnode/internal/wharfprocess/cluster_test.go
@@ -16,7 +16,7 @@
 	"testing"
 	"time"
 
-	"ragwortwharf.dev/wharf/wharfhome"
+	"ragwortwharf.dev/wharf/wharfidempotency"
 	"ragwortwharf.dev/wharf/wharfwire"
 	"ragwortwharf.dev/wharfnode/internal/wharftest"
 )
@@ -213,11 +213,11 @@
 // keyOf returns a key whose home is one of the VMs.
 func (c *cluster) keyOf(owner *vm) string {
 	c.t.Helper()
-	var table *wharfhome.OwnershipTable
+	var table *wharfidempotency.OwnershipTable
 	for i, v := range c.vms {
-		table = table.WithRecords([]wharfhome.LoggedRecord{{
+		table = table.WithRecords([]wharfidempotency.LoggedRecord{{
 			Offset: uint64(i + 1),
-			Record: wharfhome.OwnershipRecord{Kind: wharfhome.Announce, Node: v.id, Incarnation: 1, Services: []string{"bookings"}},
+			Record: wharfidempotency.OwnershipRecord{Kind: wharfidempotency.Announce, Node: v.id, Incarnation: 1, Services: []string{"bookings"}},
 		}})
 	}
 	for i := 0; ; i++ {
--- a/wharfnode/internal/wharfentry/attempt.go
+++ b/wharfnode/internal/wharfproxy/attempt.go
@@ -1,4 +1,4 @@
-package wharfentry
+package wharfproxy
 
 import (
 	"context"
@@ -7,13 +7,13 @@
 	"time"
 
 	"ragwortwharf.dev/wharf/wharfadmission"
-	"ragwortwharf.dev/wharf/wharfhome"
+	"ragwortwharf.dev/wharf/wharfidempotency"
 	"ragwortwharf.dev/wharf/wharfoutcome"
 	"ragwortwharf.dev/wharf/wharfrouting"
 	"ragwortwharf.dev/wharf/wharfwire"
-	"ragwortwharf.dev/wharfnode/internal/wharfhop"
-	"ragwortwharf.dev/wharfnode/internal/wharfsilence"
+	"ragwortwharf.dev/wharfnode/internal/wharfliveness"
 	"ragwortwharf.dev/wharfnode/internal/wharftarget"
+	"ragwortwharf.dev/wharfnode/internal/wharftransport"
 )
 
 // attemptResult is what one attempt showed.
@@ -167,11 +167,11 @@
 		return result
 	}
 	result.outcome = wharfoutcome.Uncertain(wharfoutcome.ReasonAnswerLost)
-	if errors.Is(context.Cause(x.ctx), wharfsilence.ErrUnresponsive) {
+	if errors.Is(context.Cause(x.ctx), wharfliveness.ErrUnresponsive) {
 		// Asking the node what became of the request would take as long again.
 		return result
 	}
-	var broken *wharfhop.AbortedError
+	var broken *wharftransport.AbortedError
 	if errors.As(err, &broken) {
 		return brokenOff(broken.Reason)
 	}
@@ -210,9 +210,9 @@
 	if !ok {
 		return o
 	}
-	owner := wharfhome.Owner{Node: member.Node, Incarnation: member.Incarnation, Address: member.Address}
+	owner := wharfidempotency.Owner{Node: member.Node, Incarnation: member.Incarnation, Address: member.Address}
 	entry, err := x.entry.Consulter.Consult(ctx, owner, wharftarget.GeneratedKey(x.head.GetAttemptId()))
-	if err == nil && entry.State == wharfhome.Absent {
+	if err == nil && entry.State == wharfidempotency.Absent {
 		return wharfoutcome.Refuse(wharfoutcome.ReasonAnswerLost)
 	}
 	return o
--- a/wharfnode/internal/wharfentry/classify.go
+++ b/wharfnode/internal/wharfproxy/classify.go
@@ -1,4 +1,4 @@
-package wharfentry
+package wharfproxy
 
 import (
 	"github.com/cespare/xxhash/v2"
--- a/wharfnode/internal/wharfentry/entry.go
+++ b/wharfnode/internal/wharfproxy/proxy.go
@@ -1,4 +1,4 @@
-package wharfentry
+package wharfproxy
 
 import (
 	"context"
@@ -9,19 +9,19 @@
 	"ragwortwharf.dev/wharf/wharfadmission"
 	"ragwortwharf.dev/wharf/wharfbudget"
 	"ragwortwharf.dev/wharf/wharfconfig"
-	"ragwortwharf.dev/wharf/wharfhome"
+	"ragwortwharf.dev/wharf/wharfidempotency"
 	"ragwortwharf.dev/wharf/wharfoutcome"
 	"ragwortwharf.dev/wharf/wharfquarantine"
-	"ragwortwharf.dev/wharfnode/internal/wharfhop"
+	"ragwortwharf.dev/wharfnode/internal/wharftransport"
 	"ragwortwharf.dev/wharfnode/internal/wharfview"
-	"ragwortwharf.dev/wharfnode/wharfdialect"
 	"ragwortwharf.dev/wharfnode/wharfevents"
+	"ragwortwharf.dev/wharfnode/wharfprotocol"
 	"ragwortwharf.dev/wharfnode/wharfsettings"
 )
 
 // consulter asks a node about a key, which closes it there.
 type consulter interface {
-	Consult(ctx context.Context, owner wharfhome.Owner, id wharfhome.KeyID) (wharfhome.KeyEntry, error)
+	Consult(ctx context.Context, owner wharfidempotency.Owner, id wharfidempotency.KeyID) (wharfidempotency.KeyEntry, error)
 }
 
 // delayObserver takes the wait that a call of a target here has met.
@@ -32,13 +32,13 @@
 // Proxy is the caller's side of a node.
 type Proxy struct {
 	View       *wharfview.View
-	Transport  *wharfhop.Client
+	Transport  *wharftransport.Client
 	Ledger     *wharfbudget.Ledger
 	Quarantine *wharfquarantine.List
 	Consulter  consulter
 	// Backpressure takes what the calls of the targets here meet.
 	Backpressure delayObserver
-	Protocol     wharfdialect.CallerProtocol
+	Protocol     wharfprotocol.CallerProtocol
 	// RepeatLimit bounds how often requests reach targets beyond the first time.
 	RepeatLimit wharfbudget.RepeatLimit
 	Variant     wharfsettings.Variant
@@ -60,7 +60,7 @@
 	started  time.Time
 	deadline time.Time
 
-	hints     wharfdialect.Request
+	hints     wharfprotocol.Request
 	service   string
 	caller    string
 	key       string
--- a/wharfnode/internal/wharfentry/respond.go
+++ b/wharfnode/internal/wharfproxy/respond.go
@@ -1,4 +1,4 @@
-package wharfentry
+package wharfproxy
 
 import (
 	"bytes"
@@ -10,7 +10,7 @@
 	"ragwortwharf.dev/wharf/wharfoutcome"
 	"ragwortwharf.dev/wharf/wharfrouting"
 	"ragwortwharf.dev/wharf/wharfwire"
-	"ragwortwharf.dev/wharfnode/internal/wharfhop"
+	"ragwortwharf.dev/wharfnode/internal/wharftransport"
 	"ragwortwharf.dev/wharfnode/wharfevents"
 )
 
@@ -60,7 +60,7 @@
 // answerBody collects the body of an answer from its frames.
 type answerBody struct {
 	bytes.Buffer
-	stream wharfhop.Exchange
+	stream wharftransport.Exchange
 	sum    wharfwire.BodySum
 }
 
--- a/wharfnode/internal/wharfentry/route.go
+++ b/wharfnode/internal/wharfproxy/route.go
@@ -1,4 +1,4 @@
-package wharfentry
+package wharfproxy
 
 import (
 	"strconv"
@@ -8,7 +8,7 @@
 	"ragwortwharf.dev/wharf/wharfconfig"
 	"ragwortwharf.dev/wharf/wharfoutcome"
 	"ragwortwharf.dev/wharf/wharfroute"
-	"ragwortwharf.dev/wharfnode/wharfdialect"
+	"ragwortwharf.dev/wharfnode/wharfprotocol"
 )
 
 const (
@@ -27,7 +27,7 @@
 	if table == nil {
 		return wharfoutcome.ReasonNotConfigured
 	}
-	r := table.Find(wharfdialect.HostOf(c.r.Host), c.r.URL.EscapedPath())
+	r := table.Find(wharfprotocol.HostOf(c.r.Host), c.r.URL.EscapedPath())
 	if r == nil {
 		return wharfoutcome.ReasonUnknownRoute
 	}
--- a/wharfnode/internal/wharfentry/transfer.go
+++ b/wharfnode/internal/wharfproxy/transfer.go
@@ -1,4 +1,4 @@
-package wharfentry
+package wharfproxy
 
 import (
 	"context"
@@ -9,8 +9,8 @@
 	"ragwortwharf.dev/wharf/wharfoutcome"
 	"ragwortwharf.dev/wharf/wharfrouting"
 	"ragwortwharf.dev/wharf/wharfwire"
-	"ragwortwharf.dev/wharfnode/internal/wharfhop"
-	"ragwortwharf.dev/wharfnode/internal/wharfsilence"
+	"ragwortwharf.dev/wharfnode/internal/wharfliveness"
+	"ragwortwharf.dev/wharfnode/internal/wharftransport"
 	"ragwortwharf.dev/wharfnode/wharfevents"
 )
 
@@ -19,11 +19,11 @@
 	entry  *Proxy
 	call   *call
 	target wharfrouting.Target
-	stream wharfhop.Exchange
+	stream wharftransport.Exchange
 	head   *wharfwire.CallHead
 	// ctx is that of the stream, and monitored tells whether the node answers.
 	ctx       context.Context
-	monitored *wharfsilence.Call
+	monitored *wharfliveness.Call
 	sum       wharfwire.BodySum
 	// upload ends when the rest of a long body was sent.
 	upload *upload
--- a/wharfnode/internal/wharftarget/body.go
+++ b/wharfnode/internal/wharftarget/body.go
@@ -4,14 +4,14 @@
 	"io"
 	"sync/atomic"
 
-	"ragwortwharf.dev/wharf/wharfhome"
+	"ragwortwharf.dev/wharf/wharfidempotency"
 	"ragwortwharf.dev/wharf/wharfwire"
-	"ragwortwharf.dev/wharfnode/internal/wharfhop"
+	"ragwortwharf.dev/wharfnode/internal/wharftransport"
 )
 
 // callBody reads the body of a call from its frames.
 type callBody struct {
-	stream wharfhop.Stream
+	stream wharftransport.Stream
 	rest   []byte
 	sum    wharfwire.BodySum
 	ended  bool
@@ -22,7 +22,7 @@
 }
 
 // newCallBody returns the body of a call that began with a frame.
-func newCallBody(stream wharfhop.Stream, first *wharfwire.CallFrame) *callBody {
+func newCallBody(stream wharftransport.Stream, first *wharfwire.CallFrame) *callBody {
 	b := &callBody{stream: stream}
 	b.err = b.take(first)
 	return b
@@ -76,12 +76,12 @@
 
 // storedResponse collects the answer of a keyed call while it passes.
 type storedResponse struct {
-	answer wharfhome.Response
+	answer wharfidempotency.Response
 	over   bool
 }
 
 func (k *storedResponse) add(p []byte) {
-	if k.over || len(k.answer.Body)+len(p) > wharfhome.MaxStoredBody {
+	if k.over || len(k.answer.Body)+len(p) > wharfidempotency.MaxStoredBody {
 		k.over = true
 		k.answer.Body = nil
 		return
--- a/wharfnode/internal/wharftarget/crash.go
+++ b/wharfnode/internal/wharftarget/crash.go
@@ -10,7 +10,7 @@
 	"ragwortwharf.dev/wharf/wharfoutcome"
 	"ragwortwharf.dev/wharf/wharfquarantine"
 	"ragwortwharf.dev/wharf/wharfsocket"
-	"ragwortwharf.dev/wharfnode/internal/wharfsilence"
+	"ragwortwharf.dev/wharfnode/internal/wharfliveness"
 	"ragwortwharf.dev/wharfnode/wharfevents"
 )
 
@@ -67,7 +67,7 @@
 	switch {
 	case !time.Now().Before(c.deadline):
 		return wharfoutcome.ReasonDeadline
-	case errors.Is(context.Cause(ctx), wharfsilence.ErrUnresponsive):
+	case errors.Is(context.Cause(ctx), wharfliveness.ErrUnresponsive):
 		return wharfoutcome.ReasonTargetSilent
 	case ctx.Err() != nil:
 		return wharfoutcome.ReasonCancelled
--- a/wharfnode/internal/wharftarget/dispatch.go
+++ b/wharfnode/internal/wharftarget/dispatch.go
@@ -14,7 +14,7 @@
 	"ragwortwharf.dev/wharf/wharfbudget"
 	"ragwortwharf.dev/wharf/wharfoutcome"
 	"ragwortwharf.dev/wharf/wharfwire"
-	"ragwortwharf.dev/wharfnode/wharfdialect"
+	"ragwortwharf.dev/wharfnode/wharfprotocol"
 )
 
 const (
@@ -155,7 +155,7 @@
 	if _, set := r.Header["User-Agent"]; !set {
 		r.Header.Set("User-Agent", "")
 	}
-	c.dispatchInfo = wharfdialect.Dispatch{
+	c.dispatchInfo = wharfprotocol.Dispatch{
 		RequestID: c.head.GetRequestId(),
 		Host:      c.head.GetHost(),
 		Caller:    c.head.GetCaller(),
--- a/wharfnode/internal/wharftarget/doc.go
+++ b/wharfnode/internal/wharftarget/doc.go
@@ -3,7 +3,7 @@
 // the answer back.
 //
 // A call passes the filters in the order of receive.go: leaving, deadline,
-// quarantine, home, admission, dispatch. Each filter is one file. Decisions
+// quarantine, ownership, admission, dispatch. Each filter is one file. Decisions
 // come from the pure packages; this package holds the locks, the connections
 // to targets and the waiting callers.
 package wharftarget
--- a/wharfnode/internal/wharftarget/home.go
+++ b/wharfnode/internal/wharftarget/ownership.go
@@ -5,15 +5,15 @@
 	"sync"
 	"time"
 
-	"ragwortwharf.dev/wharf/wharfhome"
+	"ragwortwharf.dev/wharf/wharfidempotency"
 	"ragwortwharf.dev/wharf/wharfoutcome"
 	"ragwortwharf.dev/wharf/wharfwire"
 )
 
 // GeneratedKey returns the key of an attempt whose caller gave none. It belongs
 // to the one node that the attempt is sent to.
-func GeneratedKey(attempt uint64) wharfhome.KeyID {
-	return wharfhome.KeyID{Key: strconv.FormatUint(attempt, 16)}
+func GeneratedKey(attempt uint64) wharfidempotency.KeyID {
+	return wharfidempotency.KeyID{Key: strconv.FormatUint(attempt, 16)}
 }
 
 // claimKey makes sure that a request that isn't idempotent runs at most once.
@@ -26,11 +26,11 @@
 		c.key = GeneratedKey(c.head.GetAttemptId())
 		return s.applyDecision(c, s.Keys.Begin(time.Now(), c.key, c.head.GetFingerprint(), 0))
 	}
-	c.key = wharfhome.KeyID{Service: c.head.GetService(), Caller: c.head.GetCaller(), Key: c.head.GetKey()}
+	c.key = wharfidempotency.KeyID{Service: c.head.GetService(), Caller: c.head.GetCaller(), Key: c.head.GetKey()}
 	for {
 		ended := s.joiners.await(c.key)
 		plan := s.receiveKey(c)
-		if plan.Action != wharfhome.Join {
+		if plan.Action != wharfidempotency.Join {
 			s.joiners.leave(c.key, ended)
 			return s.applyDecision(c, s.consult(c, plan))
 		}
@@ -43,7 +43,7 @@
 }
 
 // receiveKey decides on a call with the caller's key.
-func (s *Server) receiveKey(c *call) wharfhome.Plan {
+func (s *Server) receiveKey(c *call) wharfidempotency.Plan {
 	fingerprint := c.head.GetFingerprint()
 	if s.View.State().Offset() < c.head.GetStateOffset() {
 		return s.deduplicator().DecideStale(c.key, fingerprint)
@@ -51,18 +51,18 @@
 	return s.deduplicator().Decide(time.Now(), s.View.Ownership(), c.key, fingerprint, s.View.DedupWindow())
 }
 
-func (s *Server) deduplicator() wharfhome.Deduplicator {
-	return wharfhome.Deduplicator{Self: s.View.Self(), Keys: s.Keys}
+func (s *Server) deduplicator() wharfidempotency.Deduplicator {
+	return wharfidempotency.Deduplicator{Self: s.View.Self(), Keys: s.Keys}
 }
 
 // consult asks the earlier homes of a key that was taken.
-func (s *Server) consult(c *call, plan wharfhome.Plan) wharfhome.Decision {
-	if plan.Action != wharfhome.Proceed {
+func (s *Server) consult(c *call, plan wharfidempotency.Plan) wharfidempotency.Decision {
+	if plan.Action != wharfidempotency.Proceed {
 		return plan.Decision
 	}
 	for _, earlier := range plan.PreviousOwners {
 		decision := s.askPreviousOwner(c, earlier)
-		if decision.Action != wharfhome.Proceed {
+		if decision.Action != wharfidempotency.Proceed {
 			s.joiners.wake(c.key)
 			return decision
 		}
@@ -70,7 +70,7 @@
 	return plan.Decision
 }
 
-func (s *Server) askPreviousOwner(c *call, earlier wharfhome.Owner) wharfhome.Decision {
+func (s *Server) askPreviousOwner(c *call, earlier wharfidempotency.Owner) wharfidempotency.Decision {
 	entry, err := s.Consulter.Consult(c.ctx, earlier, c.key)
 	if err != nil {
 		return s.deduplicator().PreviousUnreachable(c.key)
@@ -79,14 +79,14 @@
 }
 
 // applyDecision turns the decision of the home into the end of the filter.
-func (s *Server) applyDecision(c *call, d wharfhome.Decision) (wharfoutcome.Outcome, bool) {
+func (s *Server) applyDecision(c *call, d wharfidempotency.Decision) (wharfoutcome.Outcome, bool) {
 	switch d.Action {
-	case wharfhome.Proceed:
+	case wharfidempotency.Proceed:
 		return wharfoutcome.Outcome{}, true
-	case wharfhome.Replay:
+	case wharfidempotency.Replay:
 		c.replay = d.Response
 		return wharfoutcome.Done(), false
-	case wharfhome.Refuse:
+	case wharfidempotency.Refuse:
 		return d.Outcome, false
 	default:
 		// A minted key is sent once, so nobody can join it.
@@ -122,7 +122,7 @@
 }
 
 // finishKey records how a dispatched call ended.
-func (s *Server) finishKey(c *call, o wharfoutcome.Outcome, answer *wharfhome.Response) {
+func (s *Server) finishKey(c *call, o wharfoutcome.Outcome, answer *wharfidempotency.Response) {
 	if !c.keyed {
 		return
 	}
@@ -141,7 +141,7 @@
 // joiners is empty.
 type joiners struct {
 	mu      sync.Mutex
-	waiting map[wharfhome.KeyID]*joinList
+	waiting map[wharfidempotency.KeyID]*joinList
 }
 
 type joinList struct {
@@ -150,11 +150,11 @@
 }
 
 // await returns a channel that is closed when the key's request ends.
-func (j *joiners) await(id wharfhome.KeyID) <-chan struct{} {
+func (j *joiners) await(id wharfidempotency.KeyID) <-chan struct{} {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if j.waiting == nil {
-		j.waiting = make(map[wharfhome.KeyID]*joinList)
+		j.waiting = make(map[wharfidempotency.KeyID]*joinList)
 	}
 	l, ok := j.waiting[id]
 	if !ok {
@@ -166,7 +166,7 @@
 }
 
 // leave gives up waiting.
-func (j *joiners) leave(id wharfhome.KeyID, ended <-chan struct{}) {
+func (j *joiners) leave(id wharfidempotency.KeyID, ended <-chan struct{}) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	l, ok := j.waiting[id]
@@ -179,7 +179,7 @@
 	}
 }
 
-func (j *joiners) wake(id wharfhome.KeyID) {
+func (j *joiners) wake(id wharfidempotency.KeyID) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if l, ok := j.waiting[id]; ok {
@@ -189,12 +189,12 @@
 }
 
 // packEntry returns the message form of an entry.
-func packEntry(e wharfhome.KeyEntry) *wharfwire.ConsultResponse {
+func packEntry(e wharfidempotency.KeyEntry) *wharfwire.ConsultResponse {
 	return &wharfwire.ConsultResponse{State: uint32(e.State), Fingerprint: e.Fingerprint, Answer: PackResponse(e.Response)}
 }
 
 // PackResponse returns the message form of a kept answer.
-func PackResponse(a *wharfhome.Response) *wharfwire.KeptAnswer {
+func PackResponse(a *wharfidempotency.Response) *wharfwire.KeptAnswer {
 	if a == nil {
 		return nil
 	}
@@ -206,20 +206,20 @@
 }
 
 // UnpackResponse reads the message form of a kept answer.
-func UnpackResponse(kept *wharfwire.KeptAnswer) *wharfhome.Response {
+func UnpackResponse(kept *wharfwire.KeptAnswer) *wharfidempotency.Response {
 	if kept == nil {
 		return nil
 	}
-	return &wharfhome.Response{
+	return &wharfidempotency.Response{
 		Status: int(kept.GetStatus()), Headers: unpackHeaders(kept.GetHeaders()),
 		Body: kept.GetBody(), Complete: kept.GetWhole(),
 	}
 }
 
-func unpackHeaders(headers []*wharfwire.Header) []wharfhome.ResponseHeader {
-	var out []wharfhome.ResponseHeader
+func unpackHeaders(headers []*wharfwire.Header) []wharfidempotency.ResponseHeader {
+	var out []wharfidempotency.ResponseHeader
 	for _, h := range headers {
-		out = append(out, wharfhome.ResponseHeader{Name: h.GetName(), Values: h.GetValues()})
+		out = append(out, wharfidempotency.ResponseHeader{Name: h.GetName(), Values: h.GetValues()})
 	}
 	return out
 }
--- a/wharfnode/internal/wharftarget/peer.go
+++ b/wharfnode/internal/wharftarget/peer.go
@@ -7,7 +7,7 @@
 	"google.golang.org/grpc/codes"
 	"google.golang.org/grpc/status"
 
-	"ragwortwharf.dev/wharf/wharfhome"
+	"ragwortwharf.dev/wharf/wharfidempotency"
 	"ragwortwharf.dev/wharf/wharfquarantine"
 	"ragwortwharf.dev/wharf/wharfwire"
 )
@@ -17,7 +17,7 @@
 	if r.GetIncarnation() != s.View.Incarnation() {
 		return nil, status.Error(codes.FailedPrecondition, "this life of the node does not have the records asked for")
 	}
-	id := wharfhome.KeyID{Service: r.GetService(), Caller: r.GetCaller(), Key: r.GetKey()}
+	id := wharfidempotency.KeyID{Service: r.GetService(), Caller: r.GetCaller(), Key: r.GetKey()}
 	offset := max(r.GetStateOffset(), s.View.State().Offset())
 	return packEntry(s.Keys.Close(time.Now(), id, offset)), nil
 }
@@ -31,10 +31,10 @@
 // HandOver takes the records of keys of a home that is leaving.
 func (s *Server) HandOver(_ context.Context, r *wharfwire.HandOverRequest) (*wharfwire.HandOverResponse, error) {
 	for _, k := range r.GetRecords() {
-		x := wharfhome.ExportedKey{
-			ID: wharfhome.KeyID{Service: k.GetService(), Caller: k.GetCaller(), Key: k.GetKey()},
-			Entry: wharfhome.KeyEntry{
-				State:       wharfhome.State(k.GetState()),
+		x := wharfidempotency.ExportedKey{
+			ID: wharfidempotency.KeyID{Service: k.GetService(), Caller: k.GetCaller(), Key: k.GetKey()},
+			Entry: wharfidempotency.KeyEntry{
+				State:       wharfidempotency.State(k.GetState()),
 				Fingerprint: k.GetFingerprint(),
 				Response:    UnpackResponse(k.GetAnswer()),
 				Changed:     time.Now().Add(-time.Duration(k.GetAgeMs()) * time.Millisecond),
--- a/wharfnode/internal/wharftarget/receive.go
+++ b/wharfnode/internal/wharftarget/receive.go
@@ -11,19 +11,19 @@
 	"ragwortwharf.dev/wharf/wharfadmission"
 	"ragwortwharf.dev/wharf/wharfbudget"
 	"ragwortwharf.dev/wharf/wharfconfig"
-	"ragwortwharf.dev/wharf/wharfhome"
+	"ragwortwharf.dev/wharf/wharfidempotency"
 	"ragwortwharf.dev/wharf/wharfoutcome"
 	"ragwortwharf.dev/wharf/wharfquarantine"
 	"ragwortwharf.dev/wharf/wharfwire"
-	"ragwortwharf.dev/wharfnode/internal/wharfhop"
+	"ragwortwharf.dev/wharfnode/internal/wharftransport"
 	"ragwortwharf.dev/wharfnode/internal/wharfview"
-	"ragwortwharf.dev/wharfnode/wharfdialect"
 	"ragwortwharf.dev/wharfnode/wharfevents"
+	"ragwortwharf.dev/wharfnode/wharfprotocol"
 )
 
 // consulter asks an earlier home about a key, which closes it there.
 type consulter interface {
-	Consult(ctx context.Context, owner wharfhome.Owner, id wharfhome.KeyID) (wharfhome.KeyEntry, error)
+	Consult(ctx context.Context, owner wharfidempotency.Owner, id wharfidempotency.KeyID) (wharfidempotency.KeyEntry, error)
 }
 
 // broadcaster tells the nodes of a service which requests crash targets.
@@ -44,11 +44,11 @@
 	Backpressure *BackpressureGuard
 	Ledger       *wharfbudget.Ledger
 	Quarantine   *wharfquarantine.List
-	Keys         *wharfhome.KeyStore
+	Keys         *wharfidempotency.KeyStore
 	Consulter    consulter
 	Broadcaster  broadcaster
 	Auditor      auditor
-	Protocol     wharfdialect.TargetProtocol
+	Protocol     wharfprotocol.TargetProtocol
 	// RefusesAfterCrash says that a target which crashed refuses connections for a
 	// while, so that one which takes them has only lost an answer.
 	RefusesAfterCrash bool
@@ -67,7 +67,7 @@
 	id          uint64
 	ctx         context.Context
 	head        *wharfwire.CallHead
-	stream      wharfhop.Stream
+	stream      wharftransport.Stream
 	body        *callBody
 	config      *wharfconfig.Snapshot
 	deadline    time.Time
@@ -76,12 +76,12 @@
 
 	// keyed says that the call must take effect at most once under key.
 	keyed bool
-	key   wharfhome.KeyID
+	key   wharfidempotency.KeyID
 	grant wharfbudget.GrantID
 	// dispatched says that the call has a grant in the ledger.
 	dispatched bool
 	// dispatchInfo is what the target was told with the request.
-	dispatchInfo wharfdialect.Dispatch
+	dispatchInfo wharfprotocol.Dispatch
 	// fromClient says that this is a request of a client, and no call made to serve one.
 	fromClient bool
 	// arrived says that the target received the request, or may have.
@@ -89,7 +89,7 @@
 	// downstream is what the calls that the target made for this one have met.
 	downstream wharfbudget.ServedCall
 	// replay is the kept answer of an earlier send.
-	replay *wharfhome.Response
+	replay *wharfidempotency.Response
 	// err ends the stream of a call whose answer could not be sent whole.
 	err error
 }
@@ -109,7 +109,7 @@
 }
 
 // Call serves one call of another node.
-func (s *Server) Call(stream wharfhop.Stream) error {
+func (s *Server) Call(stream wharftransport.Stream) error {
 	frame, err := stream.Recv()
 	if err != nil {
 		return err
--- a/wharfnode/internal/wharftarget/registry.go
+++ b/wharfnode/internal/wharftarget/registry.go
@@ -8,8 +8,8 @@
 	"ragwortwharf.dev/wharf/wharfmember"
 	"ragwortwharf.dev/wharf/wharfoutcome"
 	"ragwortwharf.dev/wharf/wharfquarantine"
+	"ragwortwharf.dev/wharfnode/internal/wharfliveness"
 	"ragwortwharf.dev/wharfnode/internal/wharfrandom"
-	"ragwortwharf.dev/wharfnode/internal/wharfsilence"
 	"ragwortwharf.dev/wharfnode/wharfevents"
 	"ragwortwharf.dev/wharfnode/wharfsettings"
 )
@@ -28,7 +28,7 @@
 	renewed    time.Time
 	leaving    bool
 	configured uint64
-	monitor    *wharfsilence.Monitor
+	monitor    *wharfliveness.Monitor
 }
 
 // inFlightRequest is a request that was dispatched to a target.
@@ -77,7 +77,7 @@
 		inFlight: make(map[uint64]inFlightRequest),
 		renewed:  now,
 	}
-	t.monitor = &wharfsilence.Monitor{Address: info.Address, OnChange: func(silent bool) { g.onLivenessChange(t, silent) }}
+	t.monitor = &wharfliveness.Monitor{Address: info.Address, OnChange: func(silent bool) { g.onLivenessChange(t, silent) }}
 	g.targets = append(g.targets, t)
 	return true
 }
--- a/wharfnode/internal/wharftarget/answer.go
+++ b/wharfnode/internal/wharftarget/response.go
@@ -7,10 +7,10 @@
 	"net/http"
 
 	"ragwortwharf.dev/wharf/wharfadmission"
-	"ragwortwharf.dev/wharf/wharfhome"
+	"ragwortwharf.dev/wharf/wharfidempotency"
 	"ragwortwharf.dev/wharf/wharfoutcome"
 	"ragwortwharf.dev/wharf/wharfwire"
-	"ragwortwharf.dev/wharfnode/internal/wharfhop"
+	"ragwortwharf.dev/wharfnode/internal/wharftransport"
 )
 
 // errBodyShort says that a body ended before its announced length.
@@ -19,7 +19,7 @@
 // answerBroken ends a call whose answer could not be sent whole. The sender
 // sees the call fail with the reason and takes nothing for complete.
 func answerBroken(reason wharfoutcome.Reason) error {
-	return &wharfhop.AbortedError{Reason: reason}
+	return &wharftransport.AbortedError{Reason: reason}
 }
 
 // sendWhole sends an answer that is at hand as one frame.
@@ -71,7 +71,7 @@
 	head.Status = int32(response.StatusCode)
 	head.Headers = wharfwire.PackHeaders(response.Header)
 	head.ContentLength = response.ContentLength
-	kept := storedResponse{answer: wharfhome.Response{Status: response.StatusCode}}
+	kept := storedResponse{answer: wharfidempotency.Response{Status: response.StatusCode}}
 	if c.keyed {
 		kept.answer.Headers = unpackHeaders(head.GetHeaders())
 	}
--- a/wharfnode/internal/wharfhop/client.go
+++ b/wharfnode/internal/wharftransport/client.go
@@ -1,4 +1,4 @@
-package wharfhop
+package wharftransport
 
 import (
 	"bufio"
@@ -15,7 +15,7 @@
 	"ragwortwharf.dev/wharf/wharfoutcome"
 	"ragwortwharf.dev/wharf/wharfsocket"
 	"ragwortwharf.dev/wharf/wharfwire"
-	"ragwortwharf.dev/wharfnode/internal/wharfsilence"
+	"ragwortwharf.dev/wharfnode/internal/wharfliveness"
 	"ragwortwharf.dev/wharfnode/wharfevents"
 )
 
@@ -66,14 +66,14 @@
 }
 
 // Monitor returns what watches the calls to an address.
-func (c *Client) Monitor(address string) *wharfsilence.Monitor {
+func (c *Client) Monitor(address string) *wharfliveness.Monitor {
 	if w, ok := c.monitors.Load(address); ok {
-		return w.(*wharfsilence.Monitor)
+		return w.(*wharfliveness.Monitor)
 	}
-	w, _ := c.monitors.LoadOrStore(address, &wharfsilence.Monitor{
+	w, _ := c.monitors.LoadOrStore(address, &wharfliveness.Monitor{
 		Address: address, OnChange: func(silent bool) { c.onLivenessChange(address, silent) },
 	})
-	return w.(*wharfsilence.Monitor)
+	return w.(*wharfliveness.Monitor)
 }
 
 // onLivenessChange takes note of a node that has fallen silent or answers again.
--- a/wharfnode/internal/wharfhop/server.go
+++ b/wharfnode/internal/wharftransport/server.go
@@ -1,4 +1,4 @@
-package wharfhop
+package wharftransport
 
 import (
 	"bufio"
--- a/wharfnode/internal/wharfview/view.go
+++ b/wharfnode/internal/wharfview/view.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"ragwortwharf.dev/wharf/wharfconfig"
-	"ragwortwharf.dev/wharf/wharfhome"
+	"ragwortwharf.dev/wharf/wharfidempotency"
 	"ragwortwharf.dev/wharf/wharfmember"
 	"ragwortwharf.dev/wharf/wharfrouting"
 	"ragwortwharf.dev/wharf/wharfstate"
@@ -62,9 +62,9 @@
 }
 
 // Self returns the life of this node as an owner of keys.
-func (v *View) Self() wharfhome.Owner {
+func (v *View) Self() wharfidempotency.Owner {
 	m := v.SelfMember()
-	return wharfhome.Owner{Node: m.Node, Incarnation: m.Incarnation, Address: m.Address}
+	return wharfidempotency.Owner{Node: m.Node, Incarnation: m.Incarnation, Address: m.Address}
 }
 
 // SelfMember returns the entry of this node.
@@ -103,14 +103,14 @@
 }
 
 // Ownership returns the ownership of keys and how fresh it is.
-func (v *View) Ownership() wharfhome.OwnershipView {
-	return wharfhome.OwnershipView{Table: v.State().Ownership(), ConfirmedAt: *v.confirmedAt.Load()}
+func (v *View) Ownership() wharfidempotency.OwnershipView {
+	return wharfidempotency.OwnershipView{Table: v.State().Ownership(), ConfirmedAt: *v.confirmedAt.Load()}
 }
 
 // DedupWindow returns the bounds on resends that are in force.
-func (v *View) DedupWindow() wharfhome.DedupWindow {
+func (v *View) DedupWindow() wharfidempotency.DedupWindow {
 	c := v.Config()
-	return wharfhome.DedupWindow{Resend: c.ResendHorizon(), Skew: c.ClockSkew(), Staleness: c.HomeStaleness()}
+	return wharfidempotency.DedupWindow{Resend: c.ResendHorizon(), Skew: c.ClockSkew(), Staleness: c.HomeStaleness()}
 }
 
 // ConfirmedAt returns the latest time for which the state is known to be complete.
--- a/wharfnode/wharfdialect/own.go
+++ b/wharfnode/wharfprotocol/native.go
@@ -1,4 +1,4 @@
-package wharfdialect
+package wharfprotocol
 
 import (
 	"net"
--- a/wharfnode/wharfserver/late_test.go
+++ b/wharfnode/wharfserver/late_test.go
@@ -10,14 +10,14 @@
 	"ragwortwharf.dev/wharf/wharfmember"
 	"ragwortwharf.dev/wharf/wharfoutcome"
 	"ragwortwharf.dev/wharf/wharfwire"
-	"ragwortwharf.dev/wharfnode/internal/wharfhop"
 	"ragwortwharf.dev/wharfnode/internal/wharftest"
+	"ragwortwharf.dev/wharfnode/internal/wharftransport"
 )
 
 // mixedUpNode sends the answer of another attempt before the right one.
 type mixedUpNode struct{}
 
-func (mixedUpNode) Call(stream wharfhop.Stream) error {
+func (mixedUpNode) Call(stream wharftransport.Stream) error {
 	frame, err := stream.Recv()
 	if err != nil {
 		return err
@@ -43,7 +43,7 @@
 	is := is.New(t)
 	l, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	is.NoErr(err)
-	server := &http.Server{Handler: wharfhop.Handler{Receiver: mixedUpNode{}}}
+	server := &http.Server{Handler: wharftransport.Handler{Receiver: mixedUpNode{}}}
 	go func() { _ = server.Serve(l) }()
 	t.Cleanup(func() { _ = server.Close() })
 	n := newMesh(t).start("domain-a")
--- a/wharfnode/wharfserver/node.go
+++ b/wharfnode/wharfserver/node.go
@@ -13,17 +13,17 @@
 	"google.golang.org/grpc"
 
 	"ragwortwharf.dev/wharf/wharfbudget"
-	"ragwortwharf.dev/wharf/wharfhome"
+	"ragwortwharf.dev/wharf/wharfidempotency"
 	"ragwortwharf.dev/wharf/wharfmember"
 	"ragwortwharf.dev/wharf/wharfquarantine"
 	"ragwortwharf.dev/wharf/wharfsocket"
 	"ragwortwharf.dev/wharf/wharfwire"
 	"ragwortwharf.dev/wharfnode/internal/wharfadmin"
-	"ragwortwharf.dev/wharfnode/internal/wharfentry"
-	"ragwortwharf.dev/wharfnode/internal/wharfhop"
-	"ragwortwharf.dev/wharfnode/internal/wharfmesh"
+	"ragwortwharf.dev/wharfnode/internal/wharfcluster"
 	"ragwortwharf.dev/wharfnode/internal/wharfpeers"
+	"ragwortwharf.dev/wharfnode/internal/wharfproxy"
 	"ragwortwharf.dev/wharfnode/internal/wharftarget"
+	"ragwortwharf.dev/wharfnode/internal/wharftransport"
 	"ragwortwharf.dev/wharfnode/internal/wharfview"
 	"ragwortwharf.dev/wharfnode/wharfevents"
 	"ragwortwharf.dev/wharfnode/wharfsettings"
@@ -48,9 +48,9 @@
 	log      wharfevents.Log
 	view     *wharfview.View
 	peers    *wharfpeers.Pool
-	mesh     *wharfmesh.Agent
+	mesh     *wharfcluster.Agent
 	target   *wharftarget.Server
-	entry    *wharfentry.Proxy
+	entry    *wharfproxy.Proxy
 	caller   *http.Server
 	admin    *http.Server
 	grpc     *grpc.Server
@@ -59,7 +59,7 @@
 	registry *wharftarget.Registry
 	stopping atomic.Bool
 	// transport carries calls to other nodes, and peer serves what they send.
-	transport *wharfhop.Client
+	transport *wharftransport.Client
 	peer      *http.Server
 }
 
@@ -67,7 +67,7 @@
 type nodeService struct {
 	wharfwire.UnimplementedNodeServer
 	*wharftarget.Server
-	mesh *wharfmesh.Agent
+	mesh *wharfcluster.Agent
 }
 
 // Exchange answers the exchange of another node.
@@ -114,8 +114,8 @@
 	n.metrics = metrics
 	registry := wharftarget.NewRegistry(settings.Variant, log)
 	n.registry = registry
-	ledger, quarantine, keys := &wharfbudget.Ledger{}, &wharfquarantine.List{}, &wharfhome.KeyStore{}
-	n.mesh = &wharfmesh.Agent{
+	ledger, quarantine, keys := &wharfbudget.Ledger{}, &wharfquarantine.List{}, &wharfidempotency.KeyStore{}
+	n.mesh = &wharfcluster.Agent{
 		View: n.view, Peers: n.peers, Platform: parts.Log,
 		Registry: registry, Quarantine: quarantine, Keys: keys, Directory: parts.Directory,
 		OwnsKeys: !parts.WithoutKeys, Readers: parts.Readers, PollWait: parts.PollWait,
@@ -129,8 +129,8 @@
 		Consulter: n.mesh, Broadcaster: n.mesh, Auditor: n.mesh, Protocol: parts.Protocol, RefusesAfterCrash: parts.RefusesAfterCrash,
 		Log: log, Metrics: metrics,
 	}
-	n.transport = &wharfhop.Client{SelfAddress: settings.Advertise, Receiver: n.target, Log: log}
-	n.entry = &wharfentry.Proxy{
+	n.transport = &wharftransport.Client{SelfAddress: settings.Advertise, Receiver: n.target, Log: log}
+	n.entry = &wharfproxy.Proxy{
 		View: n.view, Transport: n.transport, Backpressure: pressure, Ledger: ledger, Quarantine: quarantine, Consulter: n.mesh,
 		Protocol: parts.Protocol, RepeatLimit: settings.RepeatLimit(), Variant: settings.Variant, Log: log, Metrics: metrics,
 	}
@@ -142,13 +142,13 @@
 	n.admin = newHTTPServer(api.Handler())
 	n.grpc = grpc.NewServer(wharfpeers.ServerOptions()...)
 	wharfwire.RegisterNodeServer(n.grpc, nodeService{Server: n.target, mesh: n.mesh})
-	n.peer = newHTTPServer(peerHandler{calls: wharfhop.Handler{Receiver: n.target}, control: n.grpc})
+	n.peer = newHTTPServer(peerHandler{calls: wharftransport.Handler{Receiver: n.target}, control: n.grpc})
 	n.publish(metrics, keys)
 	return n
 }
 
 // publish registers the values that are read when metrics are asked for.
-func (n *Node) publish(metrics wharfevents.Metrics, keys *wharfhome.KeyStore) {
+func (n *Node) publish(metrics wharfevents.Metrics, keys *wharfidempotency.KeyStore) {
 	metrics.Gauge("wharf_state_offset", func() float64 { return float64(n.view.State().Offset()) })
 	metrics.Gauge("wharf_keys", func() float64 { return float64(keys.Len()) })
 	metrics.Gauge("wharf_key_bytes", func() float64 { return float64(keys.Bytes()) })
@@ -229,7 +229,7 @@
 	switch {
 	case r.ProtoMajor == 2:
 		h.control.ServeHTTP(w, r)
-	case r.URL.Path == wharfhop.Path:
+	case r.URL.Path == wharftransport.Path:
 		h.calls.ServeHTTP(w, r)
 	default:
 		http.NotFound(w, r)
--- a/wharfnode/wharfserver/parts.go
+++ b/wharfnode/wharfserver/options.go
@@ -7,7 +7,7 @@
 	"ragwortwharf.dev/wharf/wharflog"
 	"ragwortwharf.dev/wharf/wharfmember"
 	"ragwortwharf.dev/wharf/wharfstream"
-	"ragwortwharf.dev/wharfnode/wharfdialect"
+	"ragwortwharf.dev/wharfnode/wharfprotocol"
 	"ragwortwharf.dev/wharfnode/wharfsettings"
 )
 
@@ -31,7 +31,7 @@
 // Options take the place of a node's own. The zero Options are the node's own.
 type Options struct {
 	// Protocol is how callers and targets are spoken with.
-	Protocol wharfdialect.Protocol
+	Protocol wharfprotocol.Protocol
 	// Log holds the configuration.
 	Log Log
 	// Directory is where nodes find each other.
@@ -60,7 +60,7 @@
 
 func (p Options) withDefaults(settings wharfsettings.Settings) Options {
 	if p.Protocol == nil {
-		p.Protocol = wharfdialect.Native{}
+		p.Protocol = wharfprotocol.Native{}
 	}
 	if p.Log == nil {
 		p.Log = wharflog.NewClient(settings.LogURL)
--- a/wharfnode/wharfserver/peer_test.go
+++ b/wharfnode/wharfserver/peer_test.go
@@ -11,12 +11,12 @@
 	"google.golang.org/grpc/status"
 	"google.golang.org/protobuf/proto"
 
-	"ragwortwharf.dev/wharf/wharfhome"
+	"ragwortwharf.dev/wharf/wharfidempotency"
 	"ragwortwharf.dev/wharf/wharfmember"
 	"ragwortwharf.dev/wharf/wharfoutcome"
 	"ragwortwharf.dev/wharf/wharfwire"
-	"ragwortwharf.dev/wharfnode/internal/wharfhop"
 	"ragwortwharf.dev/wharfnode/internal/wharfpeers"
+	"ragwortwharf.dev/wharfnode/internal/wharftransport"
 )
 
 // TestNodeContract calls a node as other nodes do, right and wrong.
@@ -26,7 +26,7 @@
 	m.serve(n, "reads", hello)
 	var pool wharfpeers.Pool
 	t.Cleanup(pool.Close)
-	var hop wharfhop.Client
+	var hop wharftransport.Client
 	t.Cleanup(hop.Close)
 	client, err := pool.Client(n.settings.NodeListen)
 	if err != nil {
@@ -95,7 +95,7 @@
 		ask := &wharfwire.ConsultRequest{Service: "reads", Key: "k", Incarnation: n.view.Incarnation()}
 		r, err := client.Consult(context.Background(), ask)
 		is.NoErr(err)
-		is.Equal(wharfhome.State(r.GetState()), wharfhome.Absent)
+		is.Equal(wharfidempotency.State(r.GetState()), wharfidempotency.Absent)
 		ask.Incarnation++
 		_, err = client.Consult(context.Background(), ask)
 		is.Equal(status.Code(err), codes.FailedPrecondition)
--- /dev/null
+++ b/wharfstandin/internal/wharfpropagation/doc.go
@@ -0,0 +1,3 @@
+// Package wharfpropagation measures how long a change of configuration takes from
+// the log to every node.
+package wharfpropagation
--- a/wharfstandin/internal/wharfspread/spread.go
+++ b/wharfstandin/internal/wharfpropagation/spread.go
@@ -1,4 +1,4 @@
-package wharfspread
+package wharfpropagation
 
 import (
 	"context"
--- a/wharfstandin/internal/wharfspread/doc.go
+++ /dev/null
@@ -1,3 +0,0 @@
-// Package wharfspread measures how long a change of configuration takes from
-// the log to every node.
-package wharfspread
--- a/wharfstandin/spread.go
+++ b/wharfstandin/spread.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"ragwortwharf.dev/wharf/wharfcli"
-	"ragwortwharf.dev/wharfstandin/internal/wharfspread"
+	"ragwortwharf.dev/wharfstandin/internal/wharfpropagation"
 )
 
 // spreadCommand measures how long changes take to be in force everywhere.
@@ -28,7 +28,7 @@
 	if len(faults) > 0 {
 		return wharfcli.ExitError{Code: wharfcli.ExitUsage, Err: faults}
 	}
-	report, err := wharfspread.Run(ctx, wharfspread.Plan{
+	report, err := wharfpropagation.Run(ctx, wharfpropagation.Plan{
 		LogURL: c.LogURL, Nodes: c.Nodes, Changes: c.Changes, Pause: c.Pause, Limit: c.Limit,
 	})
 	if err != nil {
