--- a/wharf/wharfidempotency/keys.go
+++ b/wharf/wharfidempotency/keys.go
@@ -8,22 +8,23 @@
 	"ragwortwharf.dev/wharf/wharfoutcome"
 )
 
-// State is how far a key has come at one home.
+// State is the state of a key on one node.
 type State uint8
 
 // States of a key.
 const (
-	// Absent means that the home knows nothing of the key.
+	// Absent means that the node has no entry for the key.
 	Absent State = iota
-	// Waiting means that the request was taken but not yet dispatched.
+	// Waiting means that the request was accepted but not yet dispatched.
 	Waiting
-	// Running means that the target has the request.
+	// Running means that the request was dispatched to the target.
 	Running
-	// Done means that the target answered.
+	// Done means that the target responded.
 	Done
-	// Lost means that the request was dispatched and its end is not known.
+	// Lost means that the request was dispatched and its result is unknown.
 	Lost
-	// Closed means that the key never runs here.
+	// Closed means that the key doesn't run on this node unless the node
+	// becomes its owner again.
 	Closed
 )
 
@@ -32,7 +33,7 @@
 	return [...]string{"absent", "waiting", "running", "done", "lost", "closed"}[min(s, Closed)]
 }
 
-// KeyID identifies a key. Keys of different callers never meet.
+// KeyID identifies a key. Equal keys of different callers are different keys.
 type KeyID struct {
 	Service string
 	Caller  string
@@ -43,37 +44,37 @@
 	return xxhash.Sum64String(id.Service + "\x00" + id.Caller + "\x00" + id.Key)
 }
 
-// Response is what is kept of the answer of a target.
+// Response is the stored response of a target.
 type Response struct {
 	Status  int
 	Headers []ResponseHeader
 	Body    []byte
-	// Complete is false if the body was too large to keep.
+	// Complete is false if the body was too large to store.
 	Complete bool
 }
 
-// ResponseHeader is one header of an answer.
+// ResponseHeader is one header of a response.
 type ResponseHeader struct {
 	Name   string
 	Values []string
 }
 
-// KeyEntry is what a home remembers of a key.
+// KeyEntry is the entry of a key on one node.
 type KeyEntry struct {
 	State       State
 	Fingerprint uint64
 	Response    *Response
-	// Changed is when the entry came into its state.
+	// Changed is when the entry entered its state.
 	Changed time.Time
-	// ClosedAt is the offset of the log at which a closed key was closed. A
-	// home that gains the key by a later move asks the homes in between, so
-	// for it the key is open again.
+	// ClosedAt is the log offset at which a closed key was closed. If the node
+	// becomes the owner again after this offset, it asks the owners in between,
+	// so the key may run on it again.
 	ClosedAt uint64
 }
 
-// KeyStore are the records of one home. They are never forgotten before the
-// horizon of resends has passed; when they are full, new keys are refused.
-// The zero KeyStore is empty.
+// KeyStore holds the key entries of one node. It keeps the entry of a request
+// that may have run until callers may no longer resend the key; when it is full,
+// it refuses new keys. It is safe for concurrent use. The zero KeyStore is empty.
 type KeyStore struct {
 	shards [keyShards]keyShard
 }
@@ -82,29 +83,33 @@
 	return &k.shards[id.hash()%keyShards]
 }
 
-// Action is what the home does with a request for a key.
+// Action is what the node does with a request for a key.
 type Action uint8
 
-// Steps of a home.
+// Actions on a request for a key.
 const (
-	// Proceed means that the key is new and now waiting.
+	// Proceed means that the key was new and is now waiting.
 	Proceed Action = iota
-	// Join means that the request is under way; the caller awaits its end.
+	// Join means that the request is waiting or running; the caller waits for
+	// its result.
 	Join
-	// Replay means that the kept answer is the answer.
+	// Replay means that the caller gets the stored response.
 	Replay
-	// Refuse means that the outcome is the answer.
+	// Refuse means that the caller gets the outcome instead of a response.
 	Refuse
 )
 
-// Decision is the decision on a request for a key.
+// Decision is the decision on a request for a key. Response is set for Replay,
+// Outcome for Refuse.
 type Decision struct {
 	Action   Action
 	Response *Response
 	Outcome  wharfoutcome.Outcome
 }
 
-// Begin decides on a request for a key that the home has had since an offset.
+// Begin decides on a request for a key, which this node began to own at the log
+// offset since. It adds a new key as waiting. A key that was closed before since
+// is treated as new.
 func (k *KeyStore) Begin(now time.Time, id KeyID, fingerprint, since uint64) Decision {
 	s := k.shard(id)
 	s.mu.Lock()
@@ -123,8 +128,8 @@
 	return e.decide()
 }
 
-// Lookup decides on a request for a key that was dispatched here, and reports
-// whether one was. It takes no key.
+// Lookup decides on a request for a key that was dispatched on this node, and
+// reports whether the key was dispatched. It adds no entry.
 func (k *KeyStore) Lookup(id KeyID, fingerprint uint64) (Decision, bool) {
 	s := k.shard(id)
 	s.mu.Lock()
@@ -139,6 +144,7 @@
 	return e.decide(), true
 }
 
+// decide returns the decision that follows from the state of an entry.
 func (e KeyEntry) decide() Decision {
 	switch {
 	case e.State == Waiting || e.State == Running:
@@ -160,26 +166,29 @@
 	return Decision{Action: Refuse, Outcome: o}
 }
 
-// Dispatch moves a waiting key to running. It is false if the key was closed
-// meanwhile, and then the request must not reach the target.
+// Dispatch moves a waiting key to running and reports whether it did. It returns
+// false if the key was closed in the meantime; the request must then not be sent
+// to the target.
 func (k *KeyStore) Dispatch(now time.Time, id KeyID) bool {
 	return k.advance(now, id, Waiting, KeyEntry{State: Running})
 }
 
-// Finish records the answer of the target.
-func (k *KeyStore) Finish(now time.Time, id KeyID, answer *Response) {
-	if answer != nil && len(answer.Body) > MaxStoredBody {
-		answer = &Response{Status: answer.Status}
+// Finish stores the response of the target. If the body is too large or the shard
+// has no space for it, Finish stores only the status.
+func (k *KeyStore) Finish(now time.Time, id KeyID, response *Response) {
+	if response != nil && len(response.Body) > MaxStoredBody {
+		response = &Response{Status: response.Status}
 	}
-	k.advance(now, id, Running, KeyEntry{State: Done, Response: answer})
+	k.advance(now, id, Running, KeyEntry{State: Done, Response: response})
 }
 
-// MarkLost records that a dispatched request ended without an answer.
+// MarkLost records that a dispatched request ended without a response.
 func (k *KeyStore) MarkLost(now time.Time, id KeyID) {
 	k.advance(now, id, Running, KeyEntry{State: Lost})
 }
 
-// advance changes the state of an entry if it is the expected one.
+// advance replaces an entry if it is in the state from, and reports whether it
+// did.
 func (k *KeyStore) advance(now time.Time, id KeyID, from State, to KeyEntry) bool {
 	s := k.shard(id)
 	s.mu.Lock()
@@ -196,8 +205,8 @@
 	return true
 }
 
-// Abandon forgets a key that was refused before its dispatch, so that a resend
-// may run. A key that was closed meanwhile stays closed.
+// Abandon deletes a key whose request was refused before its dispatch, so that a
+// resend may run. A key that was closed in the meantime stays closed.
 func (k *KeyStore) Abandon(id KeyID) {
 	s := k.shard(id)
 	s.mu.Lock()
@@ -207,8 +216,8 @@
 	}
 }
 
-// Rollback forgets a dispatched key of which the target itself said that it
-// did not run it.
+// Rollback deletes a dispatched key after the target reported that it did not run
+// the request.
 func (k *KeyStore) Rollback(id KeyID) {
 	s := k.shard(id)
 	s.mu.Lock()
@@ -218,9 +227,10 @@
 	}
 }
 
-// Close answers a question about a key, and makes sure that a key that hasn't
-// been dispatched never will be, unless the home gains it anew after the
-// offset. The entry returned is Absent if the key has not run here.
+// Close returns the entry of a key that was dispatched on this node. It closes a
+// key that was not dispatched, so that the key can't run on this node unless the
+// node becomes its owner again after the log offset; for such a key it returns an
+// Absent entry.
 func (k *KeyStore) Close(now time.Time, id KeyID, offset uint64) KeyEntry {
 	s := k.shard(id)
 	s.mu.Lock()
@@ -233,37 +243,38 @@
 	return KeyEntry{State: Absent}
 }
 
-// MergePrevious takes the entry of an earlier home for a key that waits here. It
-// returns what to do with the request now.
-func (k *KeyStore) MergePrevious(now time.Time, id KeyID, earlier KeyEntry) Decision {
-	if earlier.State == Absent || earlier.State == Closed {
+// MergePrevious merges the entry of a previous owner into a key that waits on
+// this node, and decides on the request.
+func (k *KeyStore) MergePrevious(now time.Time, id KeyID, previous KeyEntry) Decision {
+	if previous.State == Absent || previous.State == Closed {
 		return Decision{Action: Proceed}
 	}
 	s := k.shard(id)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if earlier.State != Done {
-		// The request runs elsewhere, or its end is lost. The next resend asks
-		// again, so nothing is kept here.
+	if previous.State != Done {
+		// The request is running on the previous owner, or its result is lost.
+		// The next resend asks the previous owner again, so no entry is needed.
 		s.drop(id)
 		return refusal(wharfoutcome.Uncertain(wharfoutcome.ReasonHomeMoved))
 	}
-	mismatch := s.entries[id].Fingerprint != earlier.Fingerprint
-	earlier.Changed = now
-	s.put(id, earlier)
+	mismatch := s.entries[id].Fingerprint != previous.Fingerprint
+	previous.Changed = now
+	s.put(id, previous)
 	if mismatch {
 		return refusal(wharfoutcome.Refuse(wharfoutcome.ReasonKeyMismatch))
 	}
-	return earlier.decide()
+	return previous.decide()
 }
 
-// ExportedKey is an entry with its key, as it is handed over.
+// ExportedKey is an entry and its key, as a node hands them over to the next
+// owner.
 type ExportedKey struct {
 	ID    KeyID
 	Entry KeyEntry
 }
 
-// Export returns the entries that the next home has to know.
+// Export returns the entries of all dispatched keys, which the next owner needs.
 func (k *KeyStore) Export() []ExportedKey {
 	var out []ExportedKey
 	for i := range k.shards {
@@ -279,8 +290,10 @@
 	return out
 }
 
-// Import takes an entry that an earlier home hands over. What has run here is
-// known better; what was closed here has run there.
+// Import merges an entry that a previous owner hands over. An entry of a key that
+// was dispatched on this node is kept. A waiting or closed entry is replaced,
+// because the key was dispatched on the previous owner. A key that was still
+// running there becomes lost.
 func (k *KeyStore) Import(x ExportedKey) {
 	s := k.shard(x.ID)
 	s.mu.Lock()
--- a/wharf/wharfidempotency/memory.go
+++ b/wharf/wharfidempotency/memory.go
@@ -7,46 +7,50 @@
 
 // Limits of the memory of a KeyStore.
 const (
-	// MaxStoredBody is the largest body that is kept, in bytes.
+	// MaxStoredBody is the largest response body that is stored, in bytes.
 	MaxStoredBody = 16 << 10
 	keyShards     = 32
-	// maxKeysPerShard and maxBytesPerShard bound one shard.
+	// maxKeysPerShard and maxBytesPerShard limit one shard. The bytes are those
+	// of the stored response bodies.
 	maxKeysPerShard  = 2048
 	maxBytesPerShard = 1 << 20
-	// entryBytes is the memory of an entry without its answer.
+	// entryBytes is the estimated memory of an entry without its response body.
 	entryBytes = 256
 )
 
-// keyShard is a part of the keys under its own lock.
+// keyShard holds a part of the keys under its own lock.
 type keyShard struct {
 	mu      sync.Mutex
 	entries map[KeyID]KeyEntry
-	callers map[string]int
-	bytes   int
+	callers map[string]int // number of keys of each caller
+	bytes   int            // total size of the stored response bodies
 }
 
-// generatedKeyTTL is how long a key that a node minted is kept. Nobody resends it;
-// its sender asks about it at most once, soon after the answer was lost.
+// generatedKeyTTL is how long a key that a node generated is kept. Callers don't
+// resend such a key; the sending node asks about it at most once, soon after the
+// response was lost.
 const generatedKeyTTL = 2 * time.Minute
 
-// generated reports whether the key was made by a node for one attempt.
+// generated reports whether a node generated the key for one attempt.
 func (id KeyID) generated() bool {
 	return id.Service == ""
 }
 
-// Expire forgets keys whose last change is older than the horizon.
-func (k *KeyStore) Expire(now time.Time, horizon time.Duration) int {
+// Expire deletes done, lost and closed keys that entered their state longer ago
+// than the retention, and returns their number. For generated keys the retention
+// is at most generatedKeyTTL.
+func (k *KeyStore) Expire(now time.Time, retention time.Duration) int {
 	n := 0
 	for i := range k.shards {
 		s := &k.shards[i]
 		s.mu.Lock()
 		for id, e := range s.entries {
 			ended := e.State == Done || e.State == Lost || e.State == Closed
-			life := horizon
+			ttl := retention
 			if id.generated() {
-				life = min(generatedKeyTTL, horizon)
+				ttl = min(generatedKeyTTL, retention)
 			}
-			if ended && now.Sub(e.Changed) > life {
+			if ended && now.Sub(e.Changed) > ttl {
 				s.drop(id)
 				n++
 			}
@@ -101,8 +105,9 @@
 	return len(e.Response.Body)
 }
 
-// full reports whether a caller may add no key: the shard is full, or it is
-// half full and the caller has more than its share.
+// full reports whether the shard has no space for another key of the caller. This
+// is so if the shard is full, or if it is half full and the caller already has
+// its share of the keys.
 func (s *keyShard) full(caller string) bool {
 	if len(s.entries) >= maxKeysPerShard {
 		return true
@@ -114,7 +119,7 @@
 	return s.callers[caller] >= share
 }
 
-// Bytes returns an estimate of the memory in use, in bytes.
+// Bytes returns the estimated memory in use, in bytes.
 func (k *KeyStore) Bytes() int {
 	n := 0
 	for i := range k.shards {
--- a/wharf/wharfidempotency/resolve.go
+++ b/wharf/wharfidempotency/resolve.go
@@ -7,77 +7,81 @@
 	"github.com/google/uuid"
 )
 
-// DedupWindow bounds the resends of callers and the delay of news.
+// DedupWindow limits how long callers may resend a key and how old the ownership
+// table of an owner may be.
 type DedupWindow struct {
 	// Resend is how long a caller may resend a key.
 	Resend time.Duration
-	// Skew is how far the clocks of callers, nodes and log may differ.
+	// Skew is how far the clocks of callers, nodes and the log may differ.
 	Skew time.Duration
-	// Staleness is how long a home goes on without confirmation that its
-	// table is complete. A node that lost a key by a move may run it for as
-	// long after the move.
+	// Staleness is how long an owner may run keys without confirmation that its
+	// table is complete. A node that is no longer the owner of a key may still
+	// run the key for this long after the change of owner.
 	Staleness time.Duration
 }
 
-// OwnershipView is what a node knows of the ownership.
+// OwnershipView is the ownership as one node knows it.
 type OwnershipView struct {
 	Table *OwnershipTable
-	// ConfirmedAt is the latest time for which the table is known to be complete.
+	// ConfirmedAt is the latest time up to which the table is known to be
+	// complete.
 	ConfirmedAt time.Time
 }
 
-// stale reports whether the view is too old to act on.
-func (v OwnershipView) stale(now time.Time, horizon DedupWindow) bool {
-	return now.Sub(v.ConfirmedAt) > horizon.Staleness
+// stale reports whether the view is too old for the node to run keys.
+func (v OwnershipView) stale(now time.Time, window DedupWindow) bool {
+	return now.Sub(v.ConfirmedAt) > window.Staleness
 }
 
-// Resolution says what a home has to do before it may run a key for the
-// first time.
+// Resolution names the owner of a key and what the owner must do before it may
+// run the key for the first time.
 type Resolution struct {
 	Owner Owner
-	// Since is the offset from which on the owner has had the key.
+	// Since is the log offset at which the owner began to own the key.
 	Since uint64
-	// PreviousOwners lists the earlier homes that have to close the key.
+	// PreviousOwners lists the previous owners that must close the key.
 	PreviousOwners []Owner
-	// RecordsLost says that an earlier home is gone and took its records along.
+	// RecordsLost means that the key may have run on a previous owner that is no
+	// longer known or whose entries no longer exist.
 	RecordsLost bool
 }
 
-// Resolve finds the home of a key and the earlier homes that may know of it.
-func (t *OwnershipTable) Resolve(now time.Time, service, key string, horizon DedupWindow) (Resolution, bool) {
+// Resolve returns the owner of a key and the previous owners that may have run
+// it. It returns false if the service has no owners.
+func (t *OwnershipTable) Resolve(now time.Time, service, key string, window DedupWindow) (Resolution, bool) {
 	if t == nil {
 		return Resolution{}, false
 	}
 	h := t.services[service]
-	owner, ok := rendezvous(h.present().Owners, key)
+	owner, ok := rendezvous(h.current().Owners, key)
 	if !ok {
 		return Resolution{}, false
 	}
 	r := Resolution{Owner: owner, Since: h.ownedSince(owner, key)}
-	oldest := firstSendAfter(now, key, horizon)
+	earliestSend := earliestSendTime(now, key, window)
 	for i := len(h.epochs) - 2; i >= 0; i-- {
-		lastRun := h.epochs[i+1].Start.Add(horizon.Staleness)
-		if !lastRun.After(oldest) {
+		lastRun := h.epochs[i+1].Start.Add(window.Staleness)
+		if !lastRun.After(earliestSend) {
 			break
 		}
-		earlier, ok := rendezvous(h.epochs[i].Owners, key)
-		if ok && !earlier.Same(owner) {
-			t.addPreviousOwner(&r, h, earlier, oldest)
+		previous, ok := rendezvous(h.epochs[i].Owners, key)
+		if ok && !previous.Same(owner) {
+			t.addPreviousOwner(&r, h, previous, earliestSend)
 		}
 	}
-	if h.truncated && h.epochs[0].Start.Add(horizon.Staleness).After(oldest) {
+	if h.truncated && h.epochs[0].Start.Add(window.Staleness).After(earliestSend) {
 		r.RecordsLost = true
 	}
 	return r, true
 }
 
-// ownedSince returns the offset from which on an owner has had a key without a
-// break.
+// ownedSince returns the log offset from which an owner has owned a key without
+// interruption.
 func (h history) ownedSince(owner Owner, key string) uint64 {
-	since := h.present().Offset
+	since := h.current().Offset
 	for i := len(h.epochs) - 2; i >= 0; i-- {
-		earlier, ok := rendezvous(h.epochs[i].Owners, key)
-		if !ok || !earlier.Same(owner) {
+		previous, ok := rendezvous(h.epochs[i].Owners, key)
+		if !ok || !previous.Same(owner) {
 			break
 		}
 		since = h.epochs[i].Offset
@@ -85,38 +89,44 @@
 	return since
 }
 
-// firstSendAfter returns a time before which the key was not sent.
-func firstSendAfter(now time.Time, key string, horizon DedupWindow) time.Time {
-	oldest := now.Add(-horizon.Resend - horizon.Skew)
-	minted, ok := generatedAt(key)
-	if ok && minted.Add(-horizon.Skew).After(oldest) {
-		return minted.Add(-horizon.Skew)
+// earliestSendTime returns a time before which the key was not sent: the start of
+// the resend window or, if later, the time at which a UUIDv7 key was generated,
+// both minus the clock skew.
+func earliestSendTime(now time.Time, key string, window DedupWindow) time.Time {
+	earliestSend := now.Add(-window.Resend - window.Skew)
+	generated, ok := generatedAt(key)
+	if ok && generated.Add(-window.Skew).After(earliestSend) {
+		return generated.Add(-window.Skew)
 	}
-	return oldest
+	return earliestSend
 }
 
-func (t *OwnershipTable) addPreviousOwner(r *Resolution, h history, earlier Owner, oldest time.Time) {
-	if t.ended[incarnationKey(earlier)].handedOver {
+// addPreviousOwner adds a previous owner that must close the key. A node that
+// handed its entries over is skipped. If a newer incarnation of the node has
+// replaced it, its entries are lost, which matters only if this happened after
+// earliestSend.
+func (t *OwnershipTable) addPreviousOwner(r *Resolution, h history, previous Owner, earliestSend time.Time) {
+	if t.ended[incarnationKey(previous)].handedOver {
 		return
 	}
-	if slices.ContainsFunc(r.PreviousOwners, earlier.Same) {
+	if slices.ContainsFunc(r.PreviousOwners, previous.Same) {
 		return
 	}
-	ended, replaced := h.replacedAt(earlier)
+	endedAt, replaced := h.replacedAt(previous)
 	switch {
 	case !replaced:
-		r.PreviousOwners = append(r.PreviousOwners, earlier)
-	case ended.After(oldest):
+		r.PreviousOwners = append(r.PreviousOwners, previous)
+	case endedAt.After(earliestSend):
 		r.RecordsLost = true
 	}
 }
 
-// replacedAt returns when a newer life of the node was announced. The earlier
-// life ran nothing after that, and its records are gone.
-func (h history) replacedAt(earlier Owner) (time.Time, bool) {
+// replacedAt returns when a newer incarnation of the node was announced. The
+// earlier incarnation ran nothing after that, and its entries no longer exist.
+func (h history) replacedAt(previous Owner) (time.Time, bool) {
 	for _, e := range h.epochs {
 		for _, o := range e.Owners {
-			if o.Node == earlier.Node && o.Incarnation > earlier.Incarnation {
+			if o.Node == previous.Node && o.Incarnation > previous.Incarnation {
 				return e.Start, true
 			}
 		}
@@ -124,7 +134,8 @@
 	return time.Time{}, false
 }
 
-// generatedAt returns the time that a key of the form UUIDv7 was made at.
+// generatedAt returns the time contained in a key that is a UUIDv7. It returns
+// false for any other key.
 func generatedAt(key string) (time.Time, bool) {
 	id, err := uuid.Parse(key)
 	if err != nil || id.Version() != 7 {
--- a/wharf/wharfidempotency/table.go
+++ b/wharf/wharfidempotency/table.go
@@ -9,7 +9,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// OwnershipKind names a kind of ownership record.
+// OwnershipKind is the kind of an ownership record.
 type OwnershipKind string
 
 // Kinds of ownership records.
@@ -17,130 +17,135 @@
 	// Announce makes a node an owner of keys of its services. It ends the
 	// ownership of earlier incarnations.
 	Announce OwnershipKind = "announce"
-	// Release ends the ownership of a node that still answers for its keys.
+	// Release ends the ownership of a node that still responds to requests about
+	// its keys.
 	Release OwnershipKind = "release"
-	// HandedOver says that a released node gave all its records away.
+	// HandedOver means that a released node has handed all its entries over.
 	HandedOver OwnershipKind = "handed-over"
-	// Evict ends the ownership of a node that is gone.
+	// Evict ends the ownership of a node that no longer exists.
 	Evict OwnershipKind = "evict"
 )
 
-// OwnershipRecord is an ownership record as it stands in the log.
+// OwnershipRecord is a record of an ownership change, as stored in the log.
 type OwnershipRecord struct {
 	Kind        OwnershipKind `json:"kind"`
 	Node        string        `json:"node"`
 	Incarnation uint64        `json:"incarnation"`
 	Address     string        `json:"address,omitempty"`
 	Services    []string      `json:"services,omitempty"`
-	// By names the operator of an eviction.
+	// By names the operator who ordered an eviction.
 	By string `json:"by,omitempty"`
 }
 
-// Owner is one life of a node that owns keys.
+// Owner is one incarnation of a node that owns keys.
 type Owner struct {
 	Node        string `json:"node"`
 	Incarnation uint64 `json:"incarnation"`
 	Address     string `json:"address"`
 }
 
-// Same reports whether two owners are the same life of a node.
+// Same reports whether two owners are the same incarnation of a node.
 func (o Owner) Same(other Owner) bool {
 	return o.Node == other.Node && o.Incarnation == other.Incarnation
 }
 
 const (
-	// historyRetention is how long ended epochs are kept. It is longer than the
-	// resend horizon and the staleness of homes can be together.
+	// historyRetention is how long ended epochs are kept. It exceeds the largest
+	// possible sum of the resend horizon and the staleness of owners.
 	historyRetention = 25 * time.Hour
-	// maxEpochs bounds the epochs that are kept for a service.
+	// maxEpochs limits the number of epochs that are kept for a service.
 	maxEpochs = 256
 )
 
-// Epoch is a time during which the owners of a service were the same.
+// Epoch is a period in which the owners of a service did not change. Offset is the
+// log offset of the record that started the epoch.
 type Epoch struct {
 	Offset uint64    `json:"offset"`
 	Start  time.Time `json:"start"`
 	Owners []Owner   `json:"owners"`
 }
 
-// history lists the epochs of a service, the present one last.
+// history lists the epochs of a service in log order, the current one last.
 type history struct {
 	epochs []Epoch
-	// truncated says that epochs were dropped before historyRetention was over.
+	// truncated means that epochs were dropped before historyRetention had
+	// passed.
 	truncated bool
 }
 
-func (h history) present() Epoch {
+func (h history) current() Epoch {
 	if len(h.epochs) == 0 {
 		return Epoch{}
 	}
 	return h.epochs[len(h.epochs)-1]
 }
 
-// OwnershipTable is the ownership at one offset of the log. It never changes;
-// WithRecord returns a new one. A nil OwnershipTable is empty.
+// OwnershipTable is the ownership of keys at one offset of the log. It is
+// immutable: WithRecords returns a new table. A nil OwnershipTable is empty.
 type OwnershipTable struct {
 	services map[string]history
-	// ended holds the lives that were released or evicted. They never own keys
-	// again.
+	// ended holds the incarnations that were released or evicted. They can't own
+	// keys again.
 	ended map[string]endedIncarnation
 }
 
-// endedIncarnation is the end of a life's ownership.
+// endedIncarnation is the end of the ownership of one incarnation.
 type endedIncarnation struct {
 	at time.Time
-	// handedOver says that its records were given away.
+	// handedOver means that the node handed its entries over.
 	handedOver bool
 }
 
-// LoggedRecord is an ownership record with its place in the log.
+// LoggedRecord is an ownership record with its offset and time in the log.
 type LoggedRecord struct {
 	Record OwnershipRecord
 	Offset uint64
 	Time   time.Time
 }
 
-// WithRecords folds ownership records in the order of the log.
+// WithRecords returns a table with further ownership records applied. The records
+// must be in log order.
 func (t *OwnershipTable) WithRecords(records []LoggedRecord) *OwnershipTable {
 	next := &OwnershipTable{services: map[string]history{}, ended: map[string]endedIncarnation{}}
 	if t != nil {
 		next.services = maps.Clone(t.services)
 		next.ended = maps.Clone(t.ended)
 	}
-	for _, p := range records {
-		next.fold(p)
+	for _, logged := range records {
+		next.apply(logged)
 	}
 	return next
 }
 
-func (t *OwnershipTable) fold(p LoggedRecord) {
-	r := p.Record
+func (t *OwnershipTable) apply(logged LoggedRecord) {
+	r := logged.Record
 	owner := Owner{Node: r.Node, Incarnation: r.Incarnation, Address: r.Address}
 	switch r.Kind {
 	case Announce:
-		t.announce(p, owner)
+		t.announce(logged, owner)
 	case Release, Evict:
 		for _, service := range t.OwnedBy(owner) {
-			t.newEpoch(service, p, func(owners []Owner) []Owner {
+			t.newEpoch(service, logged, func(owners []Owner) []Owner {
 				return slices.DeleteFunc(owners, owner.Same)
 			})
 		}
-		t.end(p, owner, false)
+		t.markEnded(logged, owner, false)
 	case HandedOver:
-		t.end(p, owner, true)
+		t.markEnded(logged, owner, true)
 	}
 }
 
-// end records that a life owns keys no more.
-func (t *OwnershipTable) end(p LoggedRecord, owner Owner, handedOver bool) {
-	life := incarnationKey(owner)
-	t.ended[life] = endedIncarnation{p.Time, handedOver || t.ended[life].handedOver}
+// markEnded records that the ownership of an incarnation has ended. It also
+// deletes ended incarnations that are older than historyRetention.
+func (t *OwnershipTable) markEnded(logged LoggedRecord, owner Owner, handedOver bool) {
+	key := incarnationKey(owner)
+	t.ended[key] = endedIncarnation{logged.Time, handedOver || t.ended[key].handedOver}
 	maps.DeleteFunc(t.ended, func(_ string, e endedIncarnation) bool {
-		return p.Time.Sub(e.at) > historyRetention
+		return logged.Time.Sub(e.at) > historyRetention
 	})
 }
 
-// HasEnded reports whether a life was released or evicted.
+// HasEnded reports whether an incarnation was released or evicted.
 func (t *OwnershipTable) HasEnded(owner Owner) bool {
 	if t == nil {
 		return false
@@ -149,49 +154,50 @@
 	return ended
 }
 
-// announce sets the services of a life. A life that has ended and one that is
-// older than the present one are refused, so that neither can come back.
-func (t *OwnershipTable) announce(p LoggedRecord, owner Owner) {
+// announce sets the services of an incarnation. It ignores an incarnation that has
+// ended or that is older than the current one of the node, so that neither can
+// own keys again.
+func (t *OwnershipTable) announce(logged LoggedRecord, owner Owner) {
 	if t.HasEnded(owner) {
 		return
 	}
 	for service := range t.services {
-		present := t.services[service].present().Owners
-		stale := slices.ContainsFunc(present, func(o Owner) bool {
+		owners := t.services[service].current().Owners
+		superseded := slices.ContainsFunc(owners, func(o Owner) bool {
 			return o.Node == owner.Node && o.Incarnation > owner.Incarnation
 		})
-		if stale {
+		if superseded {
 			return
 		}
 	}
 	for service, h := range t.services {
-		listed := slices.ContainsFunc(h.present().Owners, func(o Owner) bool { return o.Node == owner.Node })
-		if listed && !slices.Contains(p.Record.Services, service) {
-			t.newEpoch(service, p, func(owners []Owner) []Owner { return without(owners, owner.Node) })
+		listed := slices.ContainsFunc(h.current().Owners, func(o Owner) bool { return o.Node == owner.Node })
+		if listed && !slices.Contains(logged.Record.Services, service) {
+			t.newEpoch(service, logged, func(owners []Owner) []Owner { return withoutNode(owners, owner.Node) })
 		}
 	}
-	for _, service := range p.Record.Services {
-		if slices.Contains(t.services[service].present().Owners, owner) {
+	for _, service := range logged.Record.Services {
+		if slices.Contains(t.services[service].current().Owners, owner) {
 			continue
 		}
-		t.newEpoch(service, p, func(owners []Owner) []Owner {
-			return append(without(owners, owner.Node), owner)
+		t.newEpoch(service, logged, func(owners []Owner) []Owner {
+			return append(withoutNode(owners, owner.Node), owner)
 		})
 	}
 }
 
-func without(owners []Owner, node string) []Owner {
+func withoutNode(owners []Owner, node string) []Owner {
 	return slices.DeleteFunc(owners, func(o Owner) bool { return o.Node == node })
 }
 
-// OwnedBy returns the services that a life owns keys of.
+// OwnedBy returns the services of which an incarnation owns keys, sorted by name.
 func (t *OwnershipTable) OwnedBy(owner Owner) []string {
 	if t == nil {
 		return nil
 	}
 	var out []string
 	for service, h := range t.services {
-		if slices.ContainsFunc(h.present().Owners, owner.Same) {
+		if slices.ContainsFunc(h.current().Owners, owner.Same) {
 			out = append(out, service)
 		}
 	}
@@ -199,16 +205,17 @@
 	return out
 }
 
-// newEpoch begins a new epoch of a service, unless nothing changes.
-func (t *OwnershipTable) newEpoch(service string, p LoggedRecord, change func([]Owner) []Owner) {
+// newEpoch starts a new epoch of a service if change alters its owners. It drops
+// epochs that ended longer ago than historyRetention or exceed maxEpochs.
+func (t *OwnershipTable) newEpoch(service string, logged LoggedRecord, change func([]Owner) []Owner) {
 	h := t.services[service]
-	before := h.present().Owners
+	before := h.current().Owners
 	after := change(slices.Clone(before))
 	if slices.Equal(before, after) {
 		return
 	}
-	epochs := append(slices.Clone(h.epochs), Epoch{Offset: p.Offset, Start: p.Time, Owners: after})
-	for len(epochs) > 1 && p.Time.Sub(epochs[1].Start) > historyRetention {
+	epochs := append(slices.Clone(h.epochs), Epoch{Offset: logged.Offset, Start: logged.Time, Owners: after})
+	for len(epochs) > 1 && logged.Time.Sub(epochs[1].Start) > historyRetention {
 		epochs = epochs[1:]
 	}
 	if len(epochs) > maxEpochs {
@@ -222,21 +229,21 @@
 	return o.Node + "#" + strconv.FormatUint(o.Incarnation, 10)
 }
 
-// Owners returns the present owners of the keys of a service.
+// Owners returns the current owners of the keys of a service.
 func (t *OwnershipTable) Owners(service string) []Owner {
 	if t == nil {
 		return nil
 	}
-	return t.services[service].present().Owners
+	return t.services[service].current().Owners
 }
 
-// Owner returns the present home of a key.
+// Owner returns the current owner of a key, or false if the service has no owners.
 func (t *OwnershipTable) Owner(service, key string) (Owner, bool) {
 	return rendezvous(t.Owners(service), key)
 }
 
-// rendezvous returns the owner with the highest hash of node and key. The
-// incarnation doesn't count, so a restart moves no key to another node.
+// rendezvous returns the owner with the highest hash of node and key. The hash
+// doesn't include the incarnation, so a restart moves no key to another node.
 func rendezvous(owners []Owner, key string) (Owner, bool) {
 	var best Owner
 	highest, found := uint64(0), false
@@ -256,25 +263,26 @@
 	Truncated bool    `json:"truncated,omitempty"`
 }
 
-// SavedIncarnation is the stored form of a life that has ended.
+// SavedIncarnation is the stored form of an incarnation that was released or
+// evicted. Incarnation has the form "node#number".
 type SavedIncarnation struct {
 	Incarnation string    `json:"life"`
 	At          time.Time `json:"at"`
 	HandedOver  bool      `json:"handed-over,omitempty"`
 }
 
-// Saved is the form of a table that is stored and sent.
+// Saved is the form in which a table is stored and sent.
 type Saved struct {
 	Services []SavedService     `json:"services"`
 	Ended    []SavedIncarnation `json:"ended"`
 }
 
-// Empty reports whether nothing was ever owned.
+// Empty reports whether the table has no epochs and no ended incarnations.
 func (s Saved) Empty() bool {
 	return len(s.Services) == 0 && len(s.Ended) == 0
 }
 
-// Save returns the stored form.
+// Save returns the stored form of the table.
 func (t *OwnershipTable) Save() Saved {
 	var saved Saved
 	if t == nil {
@@ -284,8 +292,8 @@
 		h := t.services[service]
 		saved.Services = append(saved.Services, SavedService{service, h.epochs, h.truncated})
 	}
-	for _, life := range slices.Sorted(maps.Keys(t.ended)) {
-		saved.Ended = append(saved.Ended, SavedIncarnation{life, t.ended[life].at, t.ended[life].handedOver})
+	for _, key := range slices.Sorted(maps.Keys(t.ended)) {
+		saved.Ended = append(saved.Ended, SavedIncarnation{key, t.ended[key].at, t.ended[key].handedOver})
 	}
 	return saved
 }
@@ -296,8 +304,8 @@
 	for _, s := range saved.Services {
 		t.services[s.Service] = history{s.Epochs, s.Truncated}
 	}
-	for _, l := range saved.Ended {
-		t.ended[l.Incarnation] = endedIncarnation{l.At, l.HandedOver}
+	for _, e := range saved.Ended {
+		t.ended[e.Incarnation] = endedIncarnation{e.At, e.HandedOver}
 	}
 	return t
 }
