--- a/wharf/wharfmember/detector.go
+++ b/wharf/wharfmember/detector.go
@@ -6,40 +6,46 @@
 )
 
 const (
-	// reporterQuorum is how many nodes must accuse one before it is down.
+	// reporterQuorum is the number of nodes that must report a node before it
+	// is down.
 	reporterQuorum = 2
-	// reportTTL is how long an accusation counts.
+	// reportTTL is how long a failure report is valid.
 	reportTTL = 5 * time.Second
-	// failuresToReport is how many exchanges in a row must fail.
+	// failuresToReport is the number of consecutive exchanges with a node that
+	// must fail before the node is reported.
 	failuresToReport = 3
 )
 
-// FailureReport says that a reporter can't reach a node.
+// FailureReport is the report of one node, the reporter, that it can't reach
+// another node, the subject.
 type FailureReport struct {
 	Subject     string
 	Incarnation uint64
 	Reporter    string
 }
 
-// FailureDetector decides which nodes are down. It isn't safe for concurrent use.
-// The zero FailureDetector accuses nobody.
+// FailureDetector counts failed exchanges and decides from failure reports which
+// nodes are down. It isn't safe for concurrent use. The zero FailureDetector has no
+// failures and no reports.
 type FailureDetector struct {
 	failures []failureCount
 	reports  []receivedReport
 }
 
+// failureCount is the number of consecutive failed exchanges with a node.
 type failureCount struct {
 	node  string
 	count int
 }
 
+// receivedReport is a failure report and the time of its arrival.
 type receivedReport struct {
 	FailureReport
 	at time.Time
 }
 
-// RecordExchange records whether an exchange with a node succeeded. It returns
-// true when the node is to be accused.
+// RecordExchange records whether an exchange with a node succeeded. It reports
+// whether the node must now be reported as failed.
 func (d *FailureDetector) RecordExchange(node string, ok bool) bool {
 	i := slices.IndexFunc(d.failures, func(f failureCount) bool { return f.node == node })
 	if ok {
@@ -56,28 +62,30 @@
 	return d.failures[i].count >= failuresToReport
 }
 
-// AddReport takes an accusation, own or heard, and returns whether enough
-// reporters agree that the subject is down. Where fewer watch it, all must.
-func (d *FailureDetector) AddReport(now time.Time, a FailureReport, watchers int) bool {
-	d.reports = slices.DeleteFunc(d.reports, func(h receivedReport) bool {
-		return now.Sub(h.at) >= reportTTL || h.FailureReport == a
+// AddReport adds a failure report, made by this node or received from another
+// one. It reports whether the subject is down, which needs reports from
+// reporterQuorum nodes, or from all monitors of the subject if it has fewer.
+func (d *FailureDetector) AddReport(now time.Time, report FailureReport, monitors int) bool {
+	d.reports = slices.DeleteFunc(d.reports, func(r receivedReport) bool {
+		return now.Sub(r.at) >= reportTTL || r.FailureReport == report
 	})
-	d.reports = append(d.reports, receivedReport{a, now})
+	d.reports = append(d.reports, receivedReport{report, now})
 	reporters := 0
-	for _, h := range d.reports {
-		if h.Subject == a.Subject && h.Incarnation == a.Incarnation {
+	for _, r := range d.reports {
+		if r.Subject == report.Subject && r.Incarnation == report.Incarnation {
 			reporters++
 		}
 	}
-	return reporters >= min(reporterQuorum, max(watchers, 1))
+	return reporters >= min(reporterQuorum, max(monitors, 1))
 }
 
-// ActiveReports returns the accusations that still count, to be passed on.
+// ActiveReports returns the reports that are still valid, so that the node can
+// send them to its gossip peers.
 func (d *FailureDetector) ActiveReports(now time.Time) []FailureReport {
 	var out []FailureReport
-	for _, h := range d.reports {
-		if now.Sub(h.at) < reportTTL {
-			out = append(out, h.FailureReport)
+	for _, r := range d.reports {
+		if now.Sub(r.at) < reportTTL {
+			out = append(out, r.FailureReport)
 		}
 	}
 	return out
--- a/wharf/wharfmember/doc.go
+++ b/wharf/wharfmember/doc.go
@@ -1,12 +1,13 @@
-// Package wharfmember decides which nodes exist, which are alive, and what to
-// tell which neighbour.
+// Package wharfmember decides which nodes exist, which of them are alive, and
+// which entries a node sends to which gossip peer.
 //
-// A Table holds one entry for each node. Entries are ordered by incarnation
-// and version, so tables that exchange entries agree in the end, whatever the
-// order. Digests of buckets of entries show where two tables differ without
-// sending them. A FailureDetector turns failed exchanges into accusations; it takes
-// several reporters to declare a node down.
+// A Table holds one entry for each node. Entries are ordered by incarnation and
+// version, so tables that exchange entries by anti-entropy gossip converge in any
+// order of the exchanges. Each bucket of entries has a digest; two tables compare
+// their digests to find the buckets that differ without sending the entries. A
+// FailureDetector turns failed exchanges into failure reports; a node is down
+// after several nodes have reported it.
 //
-// The package is pure. The node's mesh feeds it exchanges; routing takes its
-// targets from the table.
+// The package does no I/O. The cluster agent of the node passes it the results of
+// exchanges; the routing code takes its targets from the table.
 package wharfmember
--- a/wharf/wharfmember/incarnations.go
+++ b/wharf/wharfmember/incarnations.go
@@ -1,83 +1,86 @@
 package wharfmember
 
-// TargetIncarnation is what a target says of itself in one announcement.
+// TargetIncarnation identifies one announcement of one incarnation of a target.
 type TargetIncarnation struct {
-	// Instance identifies the target. A target may start again under the same
+	// Instance identifies the target. A target may restart with the same
 	// instance.
 	Instance string
-	// StartedMs is the time of the target's start in Unix milliseconds, zero if it
-	// doesn't say.
+	// StartedMs is the start time of the target in Unix milliseconds, or zero if
+	// the target didn't announce it.
 	StartedMs int64
-	// Sequence rises with each announcement of one life.
+	// Sequence increases with each announcement of one incarnation.
 	Sequence uint64
 }
 
-// startedAfter reports whether a life began after another one of the same
-// instance.
-func (l TargetIncarnation) startedAfter(other TargetIncarnation) bool {
-	return l.StartedMs > other.StartedMs
+// startedAfter reports whether the incarnation started after another one of the
+// same instance.
+func (i TargetIncarnation) startedAfter(other TargetIncarnation) bool {
+	return i.StartedMs > other.StartedMs
 }
 
-// maxEndedIncarnations bounds the lives of an address that are remembered.
+// maxEndedIncarnations is the number of ended incarnations that are kept for an
+// address.
 const maxEndedIncarnations = 64
 
-// IncarnationTracker decides which announcements for one address are of the target that has
-// it now. Announcements may be late, and those of an earlier target may come
-// after the next one has the address. It isn't safe for concurrent use. The zero
-// IncarnationTracker has seen none.
+// IncarnationTracker decides which announcements for one address come from the
+// target that uses the address now. Announcements may be delayed, and those of an
+// earlier target may arrive after the next target has started to use the address.
+// It isn't safe for concurrent use. The zero IncarnationTracker has no target.
 type IncarnationTracker struct {
 	current TargetIncarnation
 	known   bool
 	ended   []TargetIncarnation
 }
 
-// Current returns the life that has the address, if one does.
-func (l *IncarnationTracker) Current() (TargetIncarnation, bool) {
-	return l.current, l.known
+// Current returns the incarnation that uses the address. It returns false if
+// there is none.
+func (t *IncarnationTracker) Current() (TargetIncarnation, bool) {
+	return t.current, t.known
 }
 
-// Observe takes an announcement and reports whether it is news of the target that
-// has the address now.
-func (l *IncarnationTracker) Observe(a TargetIncarnation) bool {
-	if l.hasEnded(a) {
+// Observe records an announcement. It reports whether the announcement is a new
+// one from the target that uses the address now.
+func (t *IncarnationTracker) Observe(a TargetIncarnation) bool {
+	if t.hasEnded(a) {
 		return false
 	}
 	switch {
-	case !l.known:
-	case a.Instance == l.current.Instance && a.StartedMs == l.current.StartedMs:
-		if a.Sequence <= l.current.Sequence {
+	case !t.known:
+	case a.Instance == t.current.Instance && a.StartedMs == t.current.StartedMs:
+		if a.Sequence <= t.current.Sequence {
 			return false
 		}
-	case a.StartedMs != 0 && l.current.StartedMs != 0 && !a.startedAfter(l.current):
+	case a.StartedMs != 0 && t.current.StartedMs != 0 && !a.startedAfter(t.current):
 		return false
 	default:
-		l.end(l.current)
+		t.end(t.current)
 	}
-	l.current, l.known = a, true
+	t.current, t.known = a, true
 	return true
 }
 
-// End takes the word of a target that it goes. It is false if that target
-// doesn't have the address.
-func (l *IncarnationTracker) End(a TargetIncarnation) bool {
-	if !l.known || a.Instance != l.current.Instance || a.StartedMs != 0 && a.StartedMs < l.current.StartedMs {
+// End records that a target announced its end. It returns false if that target
+// doesn't use the address.
+func (t *IncarnationTracker) End(a TargetIncarnation) bool {
+	if !t.known || a.Instance != t.current.Instance || a.StartedMs != 0 && a.StartedMs < t.current.StartedMs {
 		return false
 	}
-	l.end(l.current)
-	l.known = false
+	t.end(t.current)
+	t.known = false
 	return true
 }
 
-func (l *IncarnationTracker) end(life TargetIncarnation) {
-	l.ended = append(l.ended, life)
-	if extra := len(l.ended) - maxEndedIncarnations; extra > 0 {
-		l.ended = l.ended[extra:]
+func (t *IncarnationTracker) end(incarnation TargetIncarnation) {
+	t.ended = append(t.ended, incarnation)
+	if extra := len(t.ended) - maxEndedIncarnations; extra > 0 {
+		t.ended = t.ended[extra:]
 	}
 }
 
-// hasEnded reports whether an announcement is of a life that has ended.
-func (l *IncarnationTracker) hasEnded(a TargetIncarnation) bool {
-	for _, e := range l.ended {
+// hasEnded reports whether an announcement comes from an incarnation that has
+// ended.
+func (t *IncarnationTracker) hasEnded(a TargetIncarnation) bool {
+	for _, e := range t.ended {
 		if e.Instance == a.Instance && !a.startedAfter(e) {
 			return true
 		}
--- a/wharf/wharfmember/member.go
+++ b/wharf/wharfmember/member.go
@@ -9,18 +9,19 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// State says whether a node takes work.
+// State is the membership state of a node.
 type State uint8
 
-// States of a node. Of two entries with the same incarnation and version the
-// one with the larger state wins.
+// States of a node. Of two entries with the same incarnation and version, the one
+// with the larger state replaces the other.
 const (
+	// Alive nodes accept requests.
 	Alive State = iota
-	// Leaving nodes take no new work and finish what they have.
+	// Leaving nodes accept no new requests and finish the ones they have.
 	Leaving
-	// Down nodes are believed dead by several others.
+	// Down nodes have failed according to the reports of several other nodes.
 	Down
-	// Left nodes have ended as planned.
+	// Left nodes have stopped as planned.
 	Left
 )
 
@@ -40,11 +41,11 @@
 	}
 }
 
-// LabelInstance is the label that names the life of a target, which changes
-// with each of its starts.
+// LabelInstance is the label that identifies the incarnation of a target. Its
+// value changes with each start of the target.
 const LabelInstance = "instance"
 
-// Target is what a target announced to its node.
+// Target is the announcement of a target to its node.
 type Target struct {
 	Service string            `json:"service"`
 	Address string            `json:"address"`
@@ -53,8 +54,8 @@
 	Leaving bool              `json:"leaving,omitempty"`
 }
 
-// Member is the entry of one node. Only the node itself raises its version;
-// others may only set its state to Down.
+// Member is the entry of one node. Only the node itself increases the version;
+// other nodes may only set the state to Down.
 type Member struct {
 	Node          string   `json:"node"`
 	Incarnation   uint64   `json:"incarnation"`
@@ -77,7 +78,7 @@
 	return m.State > other.State
 }
 
-// WithoutTarget returns the entry without a target.
+// WithoutTarget returns the entry without the target at the given address.
 func (m Member) WithoutTarget(address string) Member {
 	m.Targets = slices.DeleteFunc(slices.Clone(m.Targets), func(t Target) bool {
 		return t.Address == address
@@ -85,19 +86,20 @@
 	return m
 }
 
-// WithState returns the entry in another state.
+// WithState returns the entry with the given state.
 func (m Member) WithState(s State) Member {
 	m.State = s
 	return m
 }
 
-// TakesWork reports whether new work may be sent to the node.
+// TakesWork reports whether new requests may be sent to the node.
 func (m Member) TakesWork() bool {
 	return m.State == Alive
 }
 
-// digest sums up what makes two entries differ. Content follows from node,
-// incarnation and version, because only the node itself writes it.
+// digest returns a hash of node, incarnation, version and state. The hash doesn't
+// need the other fields: only the node itself changes them, and it then increases
+// the incarnation or the version.
 func (m Member) digest() uint64 {
 	b := append([]byte(m.Node), 0)
 	b = binary.LittleEndian.AppendUint64(b, m.Incarnation)
@@ -105,7 +107,7 @@
 	return xxhash.Sum64(append(b, byte(m.State)))
 }
 
-// SameTarget reports whether two announcements say the same.
+// SameTarget reports whether two announcements are equal.
 func SameTarget(a, b Target) bool {
 	return a.Service == b.Service && a.Address == b.Address && a.Slots == b.Slots &&
 		a.Leaving == b.Leaving && maps.Equal(a.Labels, b.Labels)
--- a/wharf/wharfmember/member_test.go
+++ b/wharf/wharfmember/member_test.go
@@ -13,7 +13,7 @@
 	_ "ragwortwharf.dev/wharf/internal/wharfseed"
 )
 
-func someMember(i int) Member {
+func testMember(i int) Member {
 	return Member{
 		Node: fmt.Sprintf("n%05d", i), Incarnation: 1, Version: 1,
 		FailureDomain: fmt.Sprint("d", i%3), Region: "r",
@@ -21,12 +21,13 @@
 	}
 }
 
-// TestTablesAgree merges the same entries in two orders and compares.
-func TestTablesAgree(t *testing.T) {
+// TestMergeOrderDoesNotMatter guards against tables that differ although they
+// merged the same entries. It merges random entries in two orders.
+func TestMergeOrderDoesNotMatter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var entries []Member
 		for range rapid.IntRange(1, 30).Draw(t, "entries") {
-			m := someMember(rapid.IntRange(0, 4).Draw(t, "node"))
+			m := testMember(rapid.IntRange(0, 4).Draw(t, "node"))
 			m.Incarnation = uint64(rapid.IntRange(1, 3).Draw(t, "incarnation"))
 			m.Version = uint64(rapid.IntRange(1, 3).Draw(t, "version"))
 			m.State = State(rapid.IntRange(int(Alive), int(Left)).Draw(t, "state"))
@@ -54,7 +55,7 @@
 	is := is.New(t)
 	var table Table
 	for i := range 10 {
-		table.Merge(someMember(i))
+		table.Merge(testMember(i))
 	}
 	is.Equal(len(table.Serving("s0")), 2)
 	m, _ := table.Get("n00000")
@@ -67,11 +68,13 @@
 	is.Equal(len(table.Serving("s0")), 0)
 }
 
-func TestDifferingSendsAllInTheEnd(t *testing.T) {
+// TestDifferingCoversAllEntries guards against entries that repeated limited
+// exchanges never send.
+func TestDifferingCoversAllEntries(t *testing.T) {
 	is := is.New(t)
 	var full, empty Table
 	for i := range 500 {
-		full.Merge(someMember(i))
+		full.Merge(testMember(i))
 	}
 	for round := 0; empty.Len() < full.Len(); round++ {
 		is.True(round < 200)
@@ -82,64 +85,71 @@
 	is.Equal(full.Digests().Root(), empty.Digests().Root())
 }
 
-func TestEachNodeIsWatchedBySeveral(t *testing.T) {
+// TestEachNodeHasRingNeighboursAsMonitors checks that as many nodes monitor each
+// node as each node monitors, all in the failure domain of the node. It also
+// checks that RandomRemote returns a node of another failure domain.
+func TestEachNodeHasRingNeighboursAsMonitors(t *testing.T) {
 	is := is.New(t)
 	var table Table
 	for i := range 30 {
-		table.Merge(someMember(i))
+		table.Merge(testMember(i))
 	}
-	watchers := map[string]int{}
+	monitors := map[string]int{}
 	for _, m := range table.All() {
-		for _, w := range table.Monitored(m.Node) {
-			is.Equal(w.FailureDomain, m.FailureDomain)
-			watchers[w.Node]++
+		for _, monitored := range table.Monitored(m.Node) {
+			is.Equal(monitored.FailureDomain, m.FailureDomain)
+			monitors[monitored.Node]++
 		}
 	}
 	for _, m := range table.All() {
-		is.Equal(watchers[m.Node], ringNeighbours)
+		is.Equal(monitors[m.Node], ringNeighbours)
 	}
 	rng := rand.New(rand.NewPCG(1, 2))
-	far, ok := table.RandomRemote("n00000", rng)
-	is.True(ok && far.FailureDomain != "d0")
+	remote, ok := table.RandomRemote("n00000", rng)
+	is.True(ok && remote.FailureDomain != "d0")
 }
 
+// TestDetectorNeedsSeveralReporters guards against a node that is declared down
+// because a single other node can't reach it.
 func TestDetectorNeedsSeveralReporters(t *testing.T) {
 	now := time.Unix(0, 0)
-	one := FailureReport{Subject: "x", Incarnation: 1, Reporter: "a"}
-	two := FailureReport{Subject: "x", Incarnation: 1, Reporter: "b"}
+	fromA := FailureReport{Subject: "x", Incarnation: 1, Reporter: "a"}
+	fromB := FailureReport{Subject: "x", Incarnation: 1, Reporter: "b"}
 	tests := []struct {
 		name     string
 		first    FailureReport
 		second   FailureReport
 		after    time.Duration
-		watchers int
+		monitors int
 		want     bool
 	}{
-		{"two reporters", one, two, time.Second, 3, true},
-		{"one reporter twice", one, one, time.Second, 3, false},
-		{"too long apart", one, two, reportTTL, 3, false},
-		{"of another incarnation", one, FailureReport{"x", 2, "b"}, time.Second, 3, false},
-		{"the only watcher", one, one, time.Second, 1, true},
+		{"two reporters", fromA, fromB, time.Second, 3, true},
+		{"one reporter twice", fromA, fromA, time.Second, 3, false},
+		{"first report expired", fromA, fromB, reportTTL, 3, false},
+		{"reports of different incarnations", fromA, FailureReport{"x", 2, "b"}, time.Second, 3, false},
+		{"only one monitor", fromA, fromA, time.Second, 1, true},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
 			is := is.New(t)
-			var d FailureDetector
-			d.AddReport(now, tc.first, tc.watchers)
-			is.Equal(d.AddReport(now.Add(tc.after), tc.second, tc.watchers), tc.want)
+			var detector FailureDetector
+			detector.AddReport(now, tc.first, tc.monitors)
+			is.Equal(detector.AddReport(now.Add(tc.after), tc.second, tc.monitors), tc.want)
 		})
 	}
 }
 
-func TestDetectorCountsFailuresInARow(t *testing.T) {
+// TestDetectorCountsConsecutiveFailures guards against a report of a node whose
+// exchanges fail now and then.
+func TestDetectorCountsConsecutiveFailures(t *testing.T) {
 	is := is.New(t)
-	var d FailureDetector
-	is.True(!d.RecordExchange("x", false))
-	is.True(!d.RecordExchange("x", false))
-	d.RecordExchange("x", true)
-	is.True(!d.RecordExchange("x", false))
-	is.True(!d.RecordExchange("x", false))
-	is.True(d.RecordExchange("x", false))
+	var detector FailureDetector
+	is.True(!detector.RecordExchange("x", false))
+	is.True(!detector.RecordExchange("x", false))
+	detector.RecordExchange("x", true)
+	is.True(!detector.RecordExchange("x", false))
+	is.True(!detector.RecordExchange("x", false))
+	is.True(detector.RecordExchange("x", false))
 }
 
 func BenchmarkMerge(b *testing.B) {
@@ -147,9 +157,9 @@
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			var table Table
 			for i := range n {
-				table.Merge(someMember(i))
+				table.Merge(testMember(i))
 			}
-			m := someMember(7)
+			m := testMember(7)
 			b.ReportAllocs()
 			for b.Loop() {
 				m.Version++
@@ -159,16 +169,16 @@
 	}
 }
 
-// BenchmarkMemory reports the memory of a table.
+// BenchmarkMemory reports the memory of a table in MB.
 func BenchmarkMemory(b *testing.B) {
 	for _, n := range []int{1_000, 4_000, 17_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			before := heap()
+			before := heapBytes()
 			var table Table
 			for i := range n {
-				table.Merge(someMember(i))
+				table.Merge(testMember(i))
 			}
-			after := heap()
+			after := heapBytes()
 			for b.Loop() {
 				runtime.KeepAlive(&table)
 			}
@@ -177,27 +187,28 @@
 	}
 }
 
-func heap() uint64 {
+// heapBytes returns the heap in use after a garbage collection, in bytes.
+func heapBytes() uint64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	return m.HeapAlloc
 }
 
-// BenchmarkDiffering finds the entries that a partner lacks.
+// BenchmarkDiffering finds the one entry that a gossip peer lacks.
 func BenchmarkDiffering(b *testing.B) {
 	for _, n := range []int{1_000, 4_000, 17_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			var table, partner Table
+			var table, peer Table
 			for i := range n {
-				table.Merge(someMember(i))
+				table.Merge(testMember(i))
 				if i > 0 {
-					partner.Merge(someMember(i))
+					peer.Merge(testMember(i))
 				}
 			}
 			b.ReportAllocs()
 			for b.Loop() {
-				table.Differing(partner.Digests(), 0, 512)
+				table.Differing(peer.Digests(), 0, 512)
 			}
 		})
 	}
--- a/wharf/wharfmember/neighbours.go
+++ b/wharf/wharfmember/neighbours.go
@@ -5,13 +5,14 @@
 	"slices"
 )
 
-// ringNeighbours is how many successors on the ring of its failure domain a
-// node watches. As many watch it in turn.
+// ringNeighbours is the number of successors that a node monitors on the ring of
+// its failure domain. Each node is monitored by as many predecessors.
 const ringNeighbours = 3
 
-// Monitored returns the nodes of its own failure domain that a node exchanges
-// with in each round and whose silence it reports: its successors on the ring
-// of ids. Nodes that are down or have left are passed over.
+// Monitored returns the nodes that self monitors: its successors on the ring of
+// node IDs of its own failure domain. The node exchanges entries with them in each
+// gossip round and reports those that are unresponsive. Nodes that are down or
+// have left are skipped.
 func (t *Table) Monitored(self string) []Member {
 	m, ok := t.members[self]
 	if !ok {
@@ -29,8 +30,8 @@
 	return out
 }
 
-// RandomRemote returns one random node of another failure domain, so that news
-// cross between failure domains.
+// RandomRemote returns a random node of another failure domain. Exchanges with
+// such nodes propagate changes between failure domains.
 func (t *Table) RandomRemote(self string, rng *rand.Rand) (Member, bool) {
 	m := t.members[self]
 	var domains []string
@@ -46,14 +47,16 @@
 	return t.randomOf(domains[rng.IntN(len(domains))], self, rng)
 }
 
-// RandomLocal returns one random node of the own failure domain, so that news
-// spread in a number of rounds that grows with the logarithm of its size.
+// RandomLocal returns a random node of the failure domain of self. Exchanges with
+// such nodes propagate changes in a number of gossip rounds that grows with the
+// logarithm of the size of the failure domain.
 func (t *Table) RandomLocal(self string, rng *rand.Rand) (Member, bool) {
 	return t.randomOf(t.members[self].FailureDomain, self, rng)
 }
 
-// randomOf looks for a live node from a random place on. Among few live nodes
-// it gives up after a bounded search.
+// randomOf returns a node of a failure domain that is alive or leaving. It searches
+// from a random position and checks at most maxSearch nodes, so it may find none
+// if few nodes are alive.
 func (t *Table) randomOf(domain, except string, rng *rand.Rand) (Member, bool) {
 	const maxSearch = 64
 	nodes := t.domains[domain]
--- a/wharf/wharfmember/table.go
+++ b/wharf/wharfmember/table.go
@@ -8,13 +8,14 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Buckets is the number of parts that a table is compared by.
+// Buckets is the number of buckets of a table. Two tables are compared bucket by
+// bucket.
 const Buckets = 256
 
 // Digests holds one digest for each bucket of a table.
 type Digests [Buckets]uint64
 
-// Root sums up all buckets.
+// Root returns one digest of all buckets.
 func (d *Digests) Root() uint64 {
 	root := uint64(0)
 	for _, b := range d {
@@ -23,22 +24,22 @@
 	return root
 }
 
-// Table holds the entries of all known nodes. It isn't safe for concurrent
-// use; its owner holds a lock. The zero Table is empty.
+// Table holds the entries of all known nodes. It isn't safe for concurrent use;
+// the caller must hold a lock. The zero Table is empty.
 type Table struct {
 	members  map[string]Member
 	digests  Digests
-	services map[string]map[string]struct{}
-	domains  map[string][]string
+	services map[string]map[string]struct{} // node IDs by service
+	domains  map[string][]string            // sorted node IDs by failure domain
 	version  uint64
 }
 
-// Version changes with each change of the table.
+// Version returns a number that increases with each change of the table.
 func (t *Table) Version() uint64 {
 	return t.version
 }
 
-// Digests returns the digests of the buckets.
+// Digests returns the digests of the buckets. The caller must not change them.
 func (t *Table) Digests() *Digests {
 	return &t.digests
 }
@@ -54,14 +55,15 @@
 	return m, ok
 }
 
-// All returns all entries in the order of their ids.
+// All returns all entries, sorted by node ID.
 func (t *Table) All() []Member {
 	all := slices.Collect(maps.Values(t.members))
 	slices.SortFunc(all, func(a, b Member) int { return cmp.Compare(a.Node, b.Node) })
 	return all
 }
 
-// Merge takes an entry if it is newer than the one at hand.
+// Merge stores an entry if it is newer than the stored entry of the same node, and
+// reports whether it did.
 func (t *Table) Merge(m Member) bool {
 	if t.members == nil {
 		t.members = map[string]Member{}
@@ -74,42 +76,41 @@
 	}
 	if known {
 		t.digests[bucketOf(m.Node)] ^= old.digest()
-		t.unlist(old)
+		t.unindexServices(old)
 	} else {
-		t.listDomain(m)
+		t.indexDomain(m)
 	}
 	t.digests[bucketOf(m.Node)] ^= m.digest()
 	t.members[m.Node] = m
-	t.list(m)
+	t.indexServices(m)
 	t.version++
 	return true
 }
 
-// Forget drops an entry, so that ended nodes don't stay for good.
+// Forget deletes an entry, so that ended nodes don't stay in the table forever.
 func (t *Table) Forget(node string) {
 	old, known := t.members[node]
 	if !known {
 		return
 	}
 	t.digests[bucketOf(node)] ^= old.digest()
-	t.unlist(old)
+	t.unindexServices(old)
 	delete(t.members, node)
 	t.domains[old.FailureDomain] = slices.DeleteFunc(t.domains[old.FailureDomain], func(n string) bool { return n == node })
 	t.version++
 }
 
-// Services returns the services that some target announced.
+// Services returns the services that targets announced, sorted by name.
 func (t *Table) Services() []string {
 	return slices.Sorted(maps.Keys(t.services))
 }
 
-// ServiceCount returns how many services some target announced.
+// ServiceCount returns the number of services that targets announced.
 func (t *Table) ServiceCount() int {
 	return len(t.services)
 }
 
-// Serving returns the nodes that have a target of a service, in the order of
-// their ids.
+// Serving returns the nodes that have a target of a service, sorted by node ID.
 func (t *Table) Serving(service string) []Member {
 	nodes := slices.Sorted(maps.Keys(t.services[service]))
 	members := make([]Member, len(nodes))
@@ -119,15 +120,16 @@
 	return members
 }
 
-// InDomain returns the ids of the nodes of a failure domain in their order.
-// The caller must not change the list.
+// InDomain returns the sorted IDs of the nodes of a failure domain. The caller must
+// not change the slice.
 func (t *Table) InDomain(domain string) []string {
 	return t.domains[domain]
 }
 
-// Differing returns the entries in the buckets whose digests differ from those
-// of a peer, at most limit of them, beginning at a bucket that moves with
-// each call so that all are sent in the end.
+// Differing returns the entries in the buckets whose digests differ from those of
+// a peer. It starts at the bucket from and stops after the bucket in which the
+// number of entries reaches limit. The caller must vary from between calls, so that
+// every differing entry is sent after some calls.
 func (t *Table) Differing(peer *Digests, from, limit int) []Member {
 	var out []Member
 	for i := range Buckets {
@@ -154,7 +156,7 @@
 	return out
 }
 
-func (t *Table) list(m Member) {
+func (t *Table) indexServices(m Member) {
 	for _, target := range m.Targets {
 		nodes, ok := t.services[target.Service]
 		if !ok {
@@ -165,7 +167,7 @@
 	}
 }
 
-func (t *Table) unlist(m Member) {
+func (t *Table) unindexServices(m Member) {
 	for _, target := range m.Targets {
 		delete(t.services[target.Service], m.Node)
 		if len(t.services[target.Service]) == 0 {
@@ -174,7 +176,7 @@
 	}
 }
 
-func (t *Table) listDomain(m Member) {
+func (t *Table) indexDomain(m Member) {
 	nodes := t.domains[m.FailureDomain]
 	i, _ := slices.BinarySearch(nodes, m.Node)
 	t.domains[m.FailureDomain] = slices.Insert(nodes, i, m.Node)
