--- a/wharf/wharfoutcome/doc.go
+++ b/wharf/wharfoutcome/doc.go
@@ -1,5 +1,5 @@
-// Package wharfoutcome defines what a caller is told about a request.
+// Package wharfoutcome defines the outcomes of requests that callers receive.
 //
-// It is the lowest package of the module: every other decision package
-// returns its values, and the node maps them to HTTP and gRPC.
+// It imports no other package of the module. Every other decision package returns
+// its values, and the node maps them to HTTP and gRPC.
 package wharfoutcome
--- a/wharf/wharfoutcome/outcome.go
+++ b/wharf/wharfoutcome/outcome.go
@@ -7,21 +7,21 @@
 	"time"
 )
 
-// Kind says how much is known about the execution of a request.
+// Kind is what is known about the execution of a request.
 type Kind uint8
 
-// The zero Kind is Unknown, so that a forgotten assignment never claims more
-// than is known.
+// Kinds of outcomes. The zero Kind is Unknown, so that an outcome whose kind was
+// never set doesn't claim that the request ran or did not run.
 const (
 	// Unknown means the request may or may not have run.
 	Unknown Kind = iota
 	// NotRun means the request did not run and never will.
 	NotRun
-	// Completed means the target answered, with any status.
+	// Completed means the target responded, with any status.
 	Completed
 )
 
-// String returns the header form of the kind.
+// String returns the kind as written in the wharf-outcome header.
 func (k Kind) String() string {
 	switch k {
 	case NotRun:
@@ -41,8 +41,8 @@
 	ReasonNone     Reason = ""
 	ReasonOverload Reason = "overload"
 	ReasonDeadline Reason = "deadline"
-	// ReasonOverloadBelow refuses fresh work because what the target calls is
-	// overloaded.
+	// ReasonOverloadBelow refuses a client request because a downstream service of
+	// the target is overloaded.
 	ReasonOverloadBelow    Reason = "overload-below"
 	ReasonLeaving          Reason = "leaving"
 	ReasonQuarantined      Reason = "quarantined"
@@ -73,42 +73,44 @@
 	ReasonCancelled        Reason = "cancelled"
 )
 
-// Outcome is the final word on one request or on one attempt of it.
+// Outcome is the final result of one request or of one attempt of it.
 type Outcome struct {
 	Kind   Kind
 	Reason Reason
-	// RetryAfter says when to come back. Zero means no advice.
+	// RetryAfter is how long the caller should wait before it retries. Zero
+	// means no hint.
 	RetryAfter time.Duration
 }
 
-// Done is the outcome of a request that its target answered.
+// Done returns the outcome of a request to which the target responded.
 func Done() Outcome {
 	return Outcome{Kind: Completed}
 }
 
-// Refuse is the outcome of a request that did not run.
+// Refuse returns the outcome of a request that did not run.
 func Refuse(reason Reason) Outcome {
 	return Outcome{Kind: NotRun, Reason: reason}
 }
 
-// Uncertain is the outcome of a request that may have run.
+// Uncertain returns the outcome of a request that may have run.
 func Uncertain(reason Reason) Outcome {
 	return Outcome{Kind: Unknown, Reason: reason}
 }
 
-// WithRetryAfter returns the outcome with advice on when to come back.
+// WithRetryAfter returns the outcome with a retry-after hint.
 func (o Outcome) WithRetryAfter(d time.Duration) Outcome {
 	o.RetryAfter = d
 	return o
 }
 
-type statusOfReason struct {
+// reasonStatus maps a reason to an HTTP status.
+type reasonStatus struct {
 	reason Reason
 	status int
 }
 
-// badInput lists the reasons that blame the request itself.
-var badInput = []statusOfReason{
+// requestErrors lists the reasons for which the request itself is at fault.
+var requestErrors = []reasonStatus{
 	{ReasonMissingService, http.StatusBadRequest},
 	{ReasonMalformedContext, http.StatusBadRequest},
 	{ReasonMalformedTimeout, http.StatusBadRequest},
@@ -120,17 +122,17 @@
 	{ReasonDepthExceeded, http.StatusLoopDetected},
 }
 
-// HTTPStatus maps an outcome that carries no answer of a target to a status.
+// HTTPStatus returns the HTTP status of an outcome without a response of a target.
 func (o Outcome) HTTPStatus() int {
 	switch o.Kind {
 	case Completed:
 		if o.Reason == ReasonAnswerNotKept {
-			// The request took effect, but this is not its answer.
+			// The request took effect, but its response was not stored.
 			return http.StatusConflict
 		}
 		return http.StatusOK
 	case NotRun:
-		for _, row := range badInput {
+		for _, row := range requestErrors {
 			if row.reason == o.Reason {
 				return row.status
 			}
@@ -141,8 +143,8 @@
 	}
 }
 
-// RetryAfterSeconds formats the advice for the retry-after header. The header
-// has whole seconds only, so the advice is rounded up.
+// RetryAfterSeconds formats the retry-after hint for the retry-after header. The
+// header has whole seconds only, so the hint is rounded up.
 func (o Outcome) RetryAfterSeconds() string {
 	return strconv.Itoa(int(math.Ceil(o.RetryAfter.Seconds())))
 }
--- a/wharf/wharfoutcome/outcome_test.go
+++ b/wharf/wharfoutcome/outcome_test.go
@@ -13,13 +13,13 @@
 		outcome Outcome
 		want    int
 	}{
-		{"zero value claims nothing", Outcome{}, 504},
+		{"zero value is unknown", Outcome{}, 504},
 		{"completed", Done(), 200},
 		{"overload", Refuse(ReasonOverload), 503},
 		{"unknown service", Refuse(ReasonUnknownService), 404},
 		{"key mismatch", Refuse(ReasonKeyMismatch), 422},
 		{"malformed context", Refuse(ReasonMalformedContext), 400},
-		{"answer lost", Uncertain(ReasonAnswerLost), 504},
+		{"response lost", Uncertain(ReasonAnswerLost), 504},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
