--- a/wharf/wharfrouting/balancer.go
+++ b/wharf/wharfrouting/balancer.go
@@ -9,37 +9,41 @@
 	"ragwortwharf.dev/wharf/wharfoutcome"
 )
 
-// Locality is where the sending node is.
+// Locality is the failure domain and region of the sending node.
 type Locality struct {
 	FailureDomain string
 	Region        string
 }
 
-// Request is what routing knows of a request.
+// Request holds the properties of a request that decide its target.
 type Request struct {
-	// Route names the kind of request; levels are kept for each route.
+	// Route names the kind of request. The balancer keeps admission levels per
+	// route.
 	Route    string
 	Rank     int
 	Priority wharfadmission.Priority
-	// Tried lists the targets that this request was already sent to.
+	// Tried lists the addresses of the targets that the request was already
+	// sent to. They are not picked again.
 	Tried []string
-	// PinnedNode restricts the choice to the target of one node, if set.
+	// PinnedNode restricts the choice to the targets of one node. Empty means
+	// any node. For a pinned node, ejection is ignored.
 	PinnedNode string
-	// IgnoreLevels sends the request however the service is loaded.
+	// IgnoreLevels picks a target regardless of its admission level.
 	IgnoreLevels bool
-	// ExposureLimit bounds the targets that may run the request.
+	// ExposureLimit bounds the set of targets that may run the request.
 	ExposureLimit ExposureLimit
 }
 
-// Balancer spreads the requests of a node over the targets of a service. It
-// isn't safe for concurrent use; its owner holds a lock.
+// Balancer distributes the requests of a node over the targets of a service.
+// It is not safe for concurrent use; the caller must hold a lock.
 type Balancer struct {
 	locality Locality
 	states   []*targetState
 	levels   []routeLevel
 }
 
-// routeLevel is the admission level that a route met at a target.
+// routeLevel is the admission level that a target last reported for a route.
+// Levels at LevelOpen are not stored.
 type routeLevel struct {
 	target string
 	route  string
@@ -47,23 +51,24 @@
 	at     time.Time
 }
 
-// NewBalancer returns a balancer without targets.
-func NewBalancer(place Locality) *Balancer {
-	return &Balancer{locality: place}
+// NewBalancer returns a balancer without targets. The sender is the locality of
+// the node that sends the requests.
+func NewBalancer(sender Locality) *Balancer {
+	return &Balancer{locality: sender}
 }
 
-// SetTargets replaces the list of targets and keeps what was learnt of those
-// that stay.
+// SetTargets replaces the list of targets. For a target that was already in the
+// list, the collected state is kept.
 func (b *Balancer) SetTargets(now time.Time, targets []Target) {
-	first := len(b.states) == 0
+	initial := len(b.states) == 0
 	states := make([]*targetState, 0, len(targets))
 	for _, t := range targets {
 		s := b.find(t.Address)
 		if s == nil {
-			s = &targetState{added: now, hash: hashAddress(t.Address)}
-			if first {
-				// Nothing is known of any target, so none is newer.
-				s.added = now.Add(-slowStart)
+			s = &targetState{addedAt: now, hash: hashAddress(t.Address)}
+			if initial {
+				// All targets are new to this node, so none needs slow start.
+				s.addedAt = now.Add(-slowStartWindow)
 			}
 		}
 		s.Target = t
@@ -72,7 +77,7 @@
 	b.states = states
 }
 
-// Len returns the number of targets that aren't leaving.
+// Len returns the number of targets that are not leaving.
 func (b *Balancer) Len() int {
 	n := 0
 	for _, s := range b.states {
@@ -83,6 +88,7 @@
 	return n
 }
 
+// find returns the state of a target, or nil if it is not in the list.
 func (b *Balancer) find(address string) *targetState {
 	for _, s := range b.states {
 		if s.Address == address {
@@ -92,7 +98,10 @@
 	return nil
 }
 
-// Pick chooses a target, or says why there is none.
+// Pick chooses a target for a request and counts the request as in flight there.
+// The caller must call Observe with the result of the attempt. If no target may
+// take the request, Pick returns the reason: ReasonNoTarget, ReasonOverload or
+// ReasonSuspected.
 func (b *Balancer) Pick(now time.Time, rng *rand.Rand, r Request) (Target, wharfoutcome.Reason) {
 	candidates := b.candidates(now, r)
 	if len(candidates) == 0 {
@@ -113,17 +122,18 @@
 	if len(candidates) == 0 {
 		return Target{}, wharfoutcome.ReasonSuspected
 	}
-	s := b.cheaper(now, candidates[rng.IntN(len(candidates))], candidates[rng.IntN(len(candidates))])
-	if near := b.near(rng, candidates); near != nil {
-		s = b.cheaper(now, near, s)
+	s := b.lowerCost(now, candidates[rng.IntN(len(candidates))], candidates[rng.IntN(len(candidates))])
+	if local := b.randomLocal(rng, candidates); local != nil {
+		s = b.lowerCost(now, local, s)
 	}
 	s.inFlight++
 	return s.Target, wharfoutcome.ReasonNone
 }
 
-// near returns a random candidate of the own failure domain, nil if there is none.
-// Two random ones of all often miss it, and what leaves the domain costs more.
-func (b *Balancer) near(rng *rand.Rand, candidates []*targetState) *targetState {
+// randomLocal returns a random candidate of the sender's failure domain, or nil
+// if there is none. It adds a third choice to the two random ones, which often
+// include no target of this domain; a call to another domain costs more.
+func (b *Balancer) randomLocal(rng *rand.Rand, candidates []*targetState) *targetState {
 	var found *targetState
 	seen := 0
 	for _, s := range candidates {
@@ -138,33 +148,36 @@
 	return found
 }
 
-func (b *Balancer) cheaper(now time.Time, x, y *targetState) *targetState {
+// lowerCost returns the target with the lower cost, x if they are equal.
+func (b *Balancer) lowerCost(now time.Time, x, y *targetState) *targetState {
 	if y.cost(now, b.locality) < x.cost(now, b.locality) {
 		return y
 	}
 	return x
 }
 
-// candidates returns the targets that may take the request. If most of them
-// are ejected, ejection is ignored.
+// candidates returns the targets that the request may be sent to: those that are
+// not leaving, not tried yet and not ejected. It includes ejected targets for a
+// pinned node and in panic mode.
 func (b *Balancer) candidates(now time.Time, r Request) []*targetState {
-	var open, all []*targetState
+	var available, all []*targetState
 	for _, s := range b.states {
 		if s.Leaving || slices.Contains(r.Tried, s.Address) || r.PinnedNode != "" && s.Node != r.PinnedNode {
 			continue
 		}
 		all = append(all, s)
 		if !s.ejected(now) {
-			open = append(open, s)
+			available = append(available, s)
 		}
 	}
 	if r.PinnedNode != "" || b.inPanicMode(now) {
 		return all
 	}
-	return open
+	return available
 }
 
-// inPanicMode reports whether so many targets are ejected that ejection is ignored.
+// inPanicMode reports whether the share of ejected targets is above
+// panicThreshold, so that ejection is ignored.
 func (b *Balancer) inPanicMode(now time.Time) bool {
 	ejected, total := 0, 0
 	for _, s := range b.states {
@@ -179,8 +192,9 @@
 	return float64(ejected) > panicThreshold*float64(total)
 }
 
-// admits reports whether a target may take the request by its admission level.
-// One that holds less important work would shed that instead.
+// admits reports whether the admission level of a target, as far as it is known,
+// admits the request. A target that queues less important requests admits it in
+// any case, because the target sheds one of those instead.
 func (b *Balancer) admits(now time.Time, s *targetState, r Request) bool {
 	if s.hasLowerPriorityQueued(now, r.Rank) {
 		return true
@@ -193,7 +207,9 @@
 	return true
 }
 
-// Observe takes the result of an attempt at a target.
+// Observe records the result of an attempt at a target: the latency, used for
+// Answered only, and the load report of the response, nil if there was none.
+// It does nothing if the target is no longer in the list.
 func (b *Balancer) Observe(now time.Time, address, route string, result Result, latency time.Duration, report *LoadReport) {
 	s := b.find(address)
 	if s == nil {
@@ -202,11 +218,13 @@
 	s.inFlight = max(s.inFlight-1, 0)
 	s.observe(now, result, latency)
 	if report != nil {
-		s.report, s.reported = *report, now
+		s.report, s.reportedAt = *report, now
 		b.recordLevel(now, address, route, report.RouteLevel)
 	}
 }
 
+// recordLevel stores the level that a target reported for a route and drops
+// expired levels.
 func (b *Balancer) recordLevel(now time.Time, address, route string, level wharfadmission.Priority) {
 	b.levels = slices.DeleteFunc(b.levels, func(l routeLevel) bool {
 		return now.Sub(l.at) >= reportTTL || l.target == address && l.route == route
@@ -216,15 +234,17 @@
 	}
 }
 
-// HasLowerPriorityQueued reports whether less important work than the request still waits
-// at another target, so that a refusal isn't the last word of the service.
+// HasLowerPriorityQueued reports whether a target that was not tried yet is known
+// to queue less important requests than this one. If so, the refusal by one
+// target is not final for the service.
 func (b *Balancer) HasLowerPriorityQueued(now time.Time, r Request) bool {
 	return slices.ContainsFunc(b.candidates(now, r), func(s *targetState) bool { return s.hasLowerPriorityQueued(now, r.Rank) })
 }
 
-// preferRoom returns those of the candidates that are known to hold less
-// important work, else those known to have room, else all. A request that was
-// refused goes there next, before its attempts are spent.
+// preferRoom returns the candidates that are known to queue less important
+// requests. If there are none, it returns those that are known to have queue
+// capacity left, and otherwise all. A refused request tries these targets first,
+// before its attempts are spent.
 func (b *Balancer) preferRoom(now time.Time, candidates []*targetState, r Request) []*targetState {
 	var lower, room []*targetState
 	for _, s := range candidates {
@@ -245,14 +265,17 @@
 	}
 }
 
-// HasCapacity reports whether another target is known to let more requests in, so
-// that the refusal of one target isn't that of the service.
+// HasCapacity reports whether a target that was not tried yet is known to have
+// queue capacity left and admits the request. If so, the refusal by one target is
+// not final for the service.
 func (b *Balancer) HasCapacity(now time.Time, r Request) bool {
 	return slices.ContainsFunc(b.candidates(now, r), func(s *targetState) bool { return s.hasQueueRoom(now) && b.admits(now, s, r) })
 }
 
-// Level returns the lowest level that a route met in the service, as long as
-// it is fresh. A service hands it up to its own callers.
+// Level returns the admission level of the whole service for a route: the highest
+// of the levels that its targets reported within reportTTL. It returns LevelOpen
+// unless there is such a level for every target. A service reports this level
+// upstream to its own callers.
 func (b *Balancer) Level(now time.Time, route string) wharfadmission.Priority {
 	level, found := wharfadmission.Priority(0), 0
 	for _, l := range b.levels {
@@ -267,25 +290,27 @@
 	return level
 }
 
-// defaultRetryAfter is the advice where no target has given any.
+// defaultRetryAfter is the retry-after hint if no target has given one.
 const defaultRetryAfter = 500 * time.Millisecond
 
-// RetryAfter advises when a slot of some target is likely: the shortest fresh
-// advice of the targets, spread so that callers don't come back together.
+// RetryAfter returns a retry-after hint for the service: the shortest hint in the
+// current load reports of its targets. Jitter keeps callers from retrying at the
+// same time.
 func (b *Balancer) RetryAfter(now time.Time, rng *rand.Rand) time.Duration {
-	advice := time.Duration(0)
+	hint := time.Duration(0)
 	for _, s := range b.states {
-		if s.fresh(now) && s.report.RetryAfter > 0 && (advice == 0 || s.report.RetryAfter < advice) {
-			advice = s.report.RetryAfter
+		if s.hasCurrentReport(now) && s.report.RetryAfter > 0 && (hint == 0 || s.report.RetryAfter < hint) {
+			hint = s.report.RetryAfter
 		}
 	}
-	if advice == 0 {
-		advice = defaultRetryAfter
+	if hint == 0 {
+		hint = defaultRetryAfter
 	}
-	return wharfadmission.AddJitter(advice, rng.Float64())
+	return wharfadmission.AddJitter(hint, rng.Float64())
 }
 
-// Ejected lists the targets that are left out at present.
+// Ejected lists the addresses of the targets that are ejected at present, also in
+// panic mode.
 func (b *Balancer) Ejected(now time.Time) []string {
 	var out []string
 	for _, s := range b.states {
--- a/wharf/wharfrouting/balancer_test.go
+++ b/wharf/wharfrouting/balancer_test.go
@@ -15,8 +15,8 @@
 )
 
 var (
-	epoch = time.Unix(0, 0)
-	home  = Locality{FailureDomain: "a", Region: "r"}
+	epoch          = time.Unix(0, 0)
+	senderLocality = Locality{FailureDomain: "a", Region: "r"}
 )
 
 func someTargets(n int) []Target {
@@ -32,11 +32,13 @@
 }
 
 func newTestBalancer(n int) *Balancer {
-	b := NewBalancer(home)
+	b := NewBalancer(senderLocality)
 	b.SetTargets(epoch, someTargets(n))
 	return b
 }
 
+// TestPickAvoids checks that Pick never returns target t0 in these cases, and which
+// reason it gives if t1 is not available either.
 func TestPickAvoids(t *testing.T) {
 	tests := []struct {
 		name    string
@@ -52,11 +54,11 @@
 		{"tried targets", func(*Balancer) {}, Request{Tried: []string{"t0"}}, ""},
 		{"ejected targets", func(b *Balancer) { b.Observe(epoch, "t0", "", Unreachable, 0, nil) }, Request{}, ""},
 		{"targets of other nodes", func(*Balancer) {}, Request{PinnedNode: "n1"}, ""},
-		{"targets above whose level the request is", func(b *Balancer) {
+		{"targets whose admission level rejects the request", func(b *Balancer) {
 			b.Observe(epoch, "t0", "x", Answered, time.Millisecond, &LoadReport{Limit: 10, RouteLevel: 100})
 		}, Request{Route: "x", Priority: 101}, ""},
-		{"all when both were tried", func(*Balancer) {}, Request{Tried: []string{"t0", "t1"}}, wharfoutcome.ReasonNoTarget},
-		{"all when the service refuses the level", func(b *Balancer) {
+		{"all targets if both were tried", func(*Balancer) {}, Request{Tried: []string{"t0", "t1"}}, wharfoutcome.ReasonNoTarget},
+		{"all targets if all levels reject the request", func(b *Balancer) {
 			for _, a := range []string{"t0", "t1"} {
 				b.Observe(epoch, a, "x", Answered, time.Millisecond, &LoadReport{Limit: 10, RouteLevel: 100})
 			}
@@ -77,18 +79,21 @@
 	}
 }
 
+// TestLevelsExpire checks that a reported level rejects requests of its route, and
+// only until reportTTL.
 func TestLevelsExpire(t *testing.T) {
 	is := is.New(t)
 	b := newTestBalancer(1)
 	b.Observe(epoch, "t0", "x", Answered, time.Millisecond, &LoadReport{Limit: 1, RouteLevel: 5})
 	is.Equal(b.Level(epoch, "x"), wharfadmission.Priority(5))
-	is.Equal(b.Level(epoch, "y"), wharfadmission.LevelOpen) // other routes are not concerned
+	is.Equal(b.Level(epoch, "y"), wharfadmission.LevelOpen) // the level applies to its route only
 	_, reason := b.Pick(epoch.Add(reportTTL), newRand(), Request{Route: "x", Priority: 9})
 	is.Equal(reason, wharfoutcome.ReasonNone)
 }
 
-// TestNeverAllEjected fails targets at random: as long as one is not leaving,
-// a request finds a target.
+// TestNeverAllEjected makes targets fail at random. Pick must still return a
+// target, even if all of them are ejected. Without panic mode, a fault common to
+// all targets would leave the service without any.
 func TestNeverAllEjected(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 8).Draw(t, "targets")
@@ -107,6 +112,8 @@
 	})
 }
 
+// TestEjectionGrowsAndEnds checks that each consecutive ejection lasts twice as long
+// as the one before, and that a response resets the duration.
 func TestEjectionGrowsAndEnds(t *testing.T) {
 	is := is.New(t)
 	b := newTestBalancer(4)
@@ -119,12 +126,14 @@
 	}
 	b.Observe(now, "t0", "", Answered, time.Millisecond, nil)
 	b.Observe(now, "t0", "", Unreachable, 0, nil)
-	is.Equal(len(b.Ejected(now.Add(firstEjection))), 0) // an answer forgives
+	is.Equal(len(b.Ejected(now.Add(initialEjection))), 0) // the response reset the duration
 }
 
-// TestFalseReportIsCorrected lets one target claim to be idle while its calls
-// take ten times as long; the calls decide.
-func TestFalseReportIsCorrected(t *testing.T) {
+// TestLatencyOutweighsFalseReport guards against a target that reports no load
+// although it is slow: its calls take ten times as long as those of the other
+// target. It must get fewer requests, because the cost includes the measured
+// latency.
+func TestLatencyOutweighsFalseReport(t *testing.T) {
 	is := is.New(t)
 	b := newTestBalancer(2)
 	rng := newRand()
@@ -139,11 +148,14 @@
 		}
 		b.Observe(now, target.Address, "", Answered, latency, &LoadReport{Limit: 10, RouteLevel: wharfadmission.LevelOpen})
 	}
-	t.Logf("%d of 400", picks)
+	t.Logf("%d of 400 requests went to the target with the false report", picks)
 	is.True(picks < 160)
 }
 
-func TestRefusalOfOneTarget(t *testing.T) {
+// TestAlternativesToRefusingTarget checks when the refusal by one target is not
+// final, because another target queues less important requests or has queue
+// capacity left.
+func TestAlternativesToRefusingTarget(t *testing.T) {
 	is := is.New(t)
 	b := newTestBalancer(2)
 	r := Request{Rank: 0, Tried: []string{"t0"}}
--- a/wharf/wharfrouting/doc.go
+++ b/wharf/wharfrouting/doc.go
@@ -1,10 +1,12 @@
 // Package wharfrouting decides which target a request is sent to.
 //
-// A Balancer holds what one node knows of the targets of one service: what
-// they announced, what answers reported, and what calls themselves showed. It
-// picks by load and distance, ejects targets that fail, starts new ones
-// gently, and knows when a refusal was the last word of the whole service.
+// A Balancer holds what one node knows about the targets of one service: their
+// announcements, the load reports in their responses, and the results of this
+// node's own attempts. It picks a target by load and locality (power of two
+// choices), ejects targets that fail (outlier ejection), and increases the load
+// of new targets gradually (slow start). It also reports whether another
+// target might accept a request that one target refused.
 //
-// The package is pure. The entry side of the node keeps one Balancer for each
-// service under a lock of its own.
+// The package does no I/O and reads no clock. The proxy of a node keeps one
+// Balancer per service, each under its own lock.
 package wharfrouting
--- a/wharf/wharfrouting/exposure_test.go
+++ b/wharf/wharfrouting/exposure_test.go
@@ -10,8 +10,8 @@
 	"ragwortwharf.dev/wharf/wharfoutcome"
 )
 
-// spreadTargets returns targets in turn over failure domains.
-func spreadTargets(n, domains int) []Target {
+// targetsAcrossDomains returns n targets, assigned to the failure domains in turn.
+func targetsAcrossDomains(n, domains int) []Target {
 	targets := someTargets(n)
 	for i := range targets {
 		targets[i].FailureDomain = fmt.Sprint("d", i%domains)
@@ -19,26 +19,27 @@
 	return targets
 }
 
-// exposedTargets sends one request from many nodes and returns the most targets
-// of one failure domain that it reached. Each node knows the targets in an
-// order of its own, and has met other loads. A target that ran the request may
-// have crashed and be gone for all who know of it.
+// exposedTargets sends one request from many nodes. It returns the largest number
+// of targets in one failure domain that the request reached. Each node has its
+// own order of the targets and its own load on them. The first target that ran
+// the request may have crashed; a node that knows about the crash no longer has
+// this target in its list.
 func exposedTargets(t *rapid.T, fingerprint uint64) int {
-	targets := spreadTargets(rapid.IntRange(1, 12).Draw(t, "targets"), rapid.IntRange(1, 3).Draw(t, "domains"))
+	targets := targetsAcrossDomains(rapid.IntRange(1, 12).Draw(t, "targets"), rapid.IntRange(1, 3).Draw(t, "domains"))
 	reached, crashed := map[string]string{}, []string(nil)
 	for i := range rapid.IntRange(1, 20).Draw(t, "sends") {
 		present := rapid.Permutation(targets).Draw(t, "order")
-		c := ExposureLimit{Fingerprint: fingerprint}
+		limit := ExposureLimit{Fingerprint: fingerprint}
 		if fingerprint != 0 && rapid.Bool().Draw(t, "knows of crash") {
-			c.Crashed = crashed
+			limit.Crashed = crashed
 			present = without(present, crashed)
 		}
-		b := NewBalancer(home)
+		b := NewBalancer(senderLocality)
 		b.SetTargets(epoch, present)
 		for j := range present {
 			b.states[j].inFlight = rapid.IntRange(0, 9).Draw(t, "load")
 		}
-		target, reason := b.Pick(epoch, newRand(), Request{ExposureLimit: c})
+		target, reason := b.Pick(epoch, newRand(), Request{ExposureLimit: limit})
 		if reason != wharfoutcome.ReasonNone {
 			continue
 		}
@@ -60,45 +61,50 @@
 	return most
 }
 
+// without returns the targets whose address is not in the list.
 func without(targets []Target, addresses []string) []Target {
 	var out []Target
 	for _, t := range targets {
-		gone := false
+		removed := false
 		for _, a := range addresses {
-			gone = gone || a == t.Address
+			removed = removed || a == t.Address
 		}
-		if !gone {
+		if !removed {
 			out = append(out, t)
 		}
 	}
 	return out
 }
 
-func TestConfinedRequestReachesTwoTargetsOfADomain(t *testing.T) {
+// TestSuspectRequestReachesTwoTargetsPerDomain guards against a request that
+// crashes its targets and takes down a whole failure domain, because each node
+// sends it to other targets.
+func TestSuspectRequestReachesTwoTargetsPerDomain(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		fingerprint := rapid.Uint64Min(1).Draw(t, "fingerprint")
-		if n := exposedTargets(t, fingerprint); n > maxExposed {
-			t.Fatalf("%d targets of one failure domain", n)
+		if n := exposedTargets(t, fingerprint); n > maxExposedPerDomain {
+			t.Fatalf("request reached %d targets of one failure domain", n)
 		}
 	})
 }
 
-// TestUnconfinedRequestReachesMore shows that the property above has teeth.
-func TestUnconfinedRequestReachesMore(t *testing.T) {
+// TestRequestWithoutLimitReachesMore checks that the property test above can fail:
+// without an exposure limit, a request reaches more targets.
+func TestRequestWithoutLimitReachesMore(t *testing.T) {
 	worst := 0
 	rapid.Check(t, func(t *rapid.T) {
 		worst = max(worst, exposedTargets(t, 0))
 	})
-	is.New(t).True(worst > maxExposed)
+	is.New(t).True(worst > maxExposedPerDomain)
 }
 
-// TestConfinementSpreadsLoad sends requests that are all different: each target
-// gets its share.
-func TestConfinementSpreadsLoad(t *testing.T) {
+// TestExposureLimitBalancesLoad sends requests with different fingerprints. Each
+// target must get between half and twice its equal share of them.
+func TestExposureLimitBalancesLoad(t *testing.T) {
 	is := is.New(t)
-	b := NewBalancer(home)
+	b := NewBalancer(senderLocality)
 	const targets, requests = 9, 9000
-	b.SetTargets(epoch, spreadTargets(targets, 1))
+	b.SetTargets(epoch, targetsAcrossDomains(targets, 1))
 	rng := newRand()
 	got := map[string]int{}
 	for range requests {
@@ -113,9 +119,10 @@
 	}
 }
 
-// TestCrashedTargetIsTheLastChoice lets a suspect go elsewhere, and back where it
-// crashed only if there is nowhere else.
-func TestCrashedTargetIsTheLastChoice(t *testing.T) {
+// TestCrashedTargetIsPickedLast picks a target for a suspect request that crashed
+// a target. The request must go to another target, and to the crashed one only if
+// there is no other.
+func TestCrashedTargetIsPickedLast(t *testing.T) {
 	is := is.New(t)
 	r := Request{ExposureLimit: ExposureLimit{Fingerprint: 7, Crashed: []string{"t0"}}}
 	for n, want := range []string{1: "t0", 2: "t1"} {
@@ -128,20 +135,22 @@
 	}
 }
 
-func TestConfinementAllows(t *testing.T) {
+// TestExposureLimitAllows counts the targets that Allows accepts. A crashed target
+// counts towards the limit of its own failure domain.
+func TestExposureLimitAllows(t *testing.T) {
 	tests := []struct {
-		name        string
-		targets     int
-		confinement ExposureLimit
-		want        int
+		name    string
+		targets int
+		limit   ExposureLimit
+		want    int
 	}{
-		{"no bound", 5, ExposureLimit{}, 5},
+		{"no limit", 5, ExposureLimit{}, 5},
 		{"two of five", 5, ExposureLimit{Fingerprint: 7}, 2},
-		{"a crashed one and one beside", 5, ExposureLimit{Fingerprint: 7, Crashed: []string{"t3"}}, 2},
-		{"one beside a crashed one that is gone", 5, ExposureLimit{Fingerprint: 7, Crashed: []string{"gone"}}, 1},
-		{"two crashed ones", 5, ExposureLimit{Fingerprint: 7, Crashed: []string{"t3", "t4"}}, 2},
-		{"the only target, crashed", 1, ExposureLimit{Fingerprint: 7, Crashed: []string{"t0"}}, 1},
-		{"the only target", 1, ExposureLimit{Fingerprint: 7}, 1},
+		{"one crashed and one other", 5, ExposureLimit{Fingerprint: 7, Crashed: []string{"t3"}}, 2},
+		{"one crashed and removed, one other", 5, ExposureLimit{Fingerprint: 7, Crashed: []string{"gone"}}, 1},
+		{"two crashed", 5, ExposureLimit{Fingerprint: 7, Crashed: []string{"t3", "t4"}}, 2},
+		{"only target, crashed", 1, ExposureLimit{Fingerprint: 7, Crashed: []string{"t0"}}, 1},
+		{"only target", 1, ExposureLimit{Fingerprint: 7}, 1},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
@@ -149,7 +158,7 @@
 			targets := someTargets(tc.targets)
 			allowed := 0
 			for _, target := range targets {
-				if tc.confinement.Allows(targets, target.Address) {
+				if tc.limit.Allows(targets, target.Address) {
 					allowed++
 				}
 			}
@@ -158,11 +167,11 @@
 	}
 	t.Run("crash in another failure domain", func(t *testing.T) {
 		is := is.New(t)
-		targets := spreadTargets(8, 2)
-		c := ExposureLimit{Fingerprint: 7, Crashed: []string{targets[0].Address}}
+		targets := targetsAcrossDomains(8, 2)
+		l := ExposureLimit{Fingerprint: 7, Crashed: []string{targets[0].Address}}
 		allowed := map[string]int{}
 		for _, target := range targets {
-			if c.Allows(targets, target.Address) {
+			if l.Allows(targets, target.Address) {
 				allowed[target.FailureDomain]++
 			}
 		}
@@ -171,7 +180,7 @@
 	})
 }
 
-func BenchmarkPickConfined(b *testing.B) {
+func BenchmarkPickWithExposureLimit(b *testing.B) {
 	balancer := newTestBalancer(9)
 	rng := newRand()
 	b.ReportAllocs()
--- a/wharf/wharfrouting/losses_test.go
+++ b/wharf/wharfrouting/losses_test.go
@@ -9,15 +9,17 @@
 	"ragwortwharf.dev/wharf/wharfoutcome"
 )
 
-// underWay is how many requests are under way at a time.
-const underWay = 20
+// concurrentRequests is the number of requests in flight at a time.
+const concurrentRequests = 20
 
-// shareOf sends requests, of which a target loses a share of the answers, and returns the target's part of the last half.
-func shareOf(t *testing.T, b *Balancer, address string, requests int, lost float64) float64 {
+// pickedShare sends requests through the balancer. The target with the given
+// address loses a share of its responses. The result is that target's share of the
+// second half of the requests.
+func pickedShare(t *testing.T, b *Balancer, address string, requests int, lost float64) float64 {
 	t.Helper()
 	rng := newRand()
-	var open []func()
-	now, part := epoch.Add(time.Hour), 0
+	var inFlight []func()
+	now, picked := epoch.Add(time.Hour), 0
 	for i := range requests {
 		now = now.Add(time.Millisecond)
 		target, reason := b.Pick(now, rng, Request{})
@@ -27,32 +29,33 @@
 		result := Answered
 		if target.Address == address {
 			if i >= requests/2 {
-				part++
+				picked++
 			}
 			if rng.Float64() < lost {
 				result = ResponseLost
 			}
 		}
-		open = append(open, func() { b.Observe(now, target.Address, "", result, underWay*time.Millisecond, nil) })
-		if len(open) > underWay {
-			open[0]()
-			open = open[1:]
+		inFlight = append(inFlight, func() { b.Observe(now, target.Address, "", result, concurrentRequests*time.Millisecond, nil) })
+		if len(inFlight) > concurrentRequests {
+			inFlight[0]()
+			inFlight = inFlight[1:]
 		}
 	}
-	for _, end := range open {
-		end()
+	for _, observe := range inFlight {
+		observe()
 	}
-	return float64(part) / float64(requests-requests/2)
+	return float64(picked) / float64(requests-requests/2)
 }
 
-// TestTargetThatLosesAnswersIsSpared is the pattern of some targets of a service
-// that lose answers while they look healthy.
-func TestTargetThatLosesAnswersIsSpared(t *testing.T) {
+// TestTargetThatLosesResponsesGetsLessLoad guards against a target that loses
+// responses but looks healthy otherwise: such a target is idle by its load, so it
+// would attract requests.
+func TestTargetThatLosesResponsesGetsLessLoad(t *testing.T) {
 	is := is.New(t)
 	b := newTestBalancer(4)
-	is.True(shareOf(t, b, "t0", 4000, 0) > 0.15)
-	is.True(shareOf(t, b, "t0", 4000, 0.4) < 0.10)
-	is.True(shareOf(t, b, "t0", 4000, 1) < 0.05)
-	// It comes back by what it is still sent.
-	is.True(shareOf(t, b, "t0", 4000, 0) > 0.15)
+	is.True(pickedShare(t, b, "t0", 4000, 0) > 0.15)
+	is.True(pickedShare(t, b, "t0", 4000, 0.4) < 0.10)
+	is.True(pickedShare(t, b, "t0", 4000, 1) < 0.05)
+	// The few requests that the target still gets show its recovery.
+	is.True(pickedShare(t, b, "t0", 4000, 0) > 0.15)
 }
--- a/wharf/wharfrouting/stall.go
+++ b/wharf/wharfrouting/stall.go
@@ -3,48 +3,51 @@
 import "time"
 
 const (
-	// minStallTimeout is the least silence that is noticed. It is above the round
-	// trips between regions and a short stop of the other side.
+	// minStallTimeout is the shortest time without a response that counts as a
+	// stall. It is longer than a round trip between regions and than a short
+	// pause of the peer's process.
 	minStallTimeout = 250 * time.Millisecond
-	// stallFactor is the length of a silence in times that an answer usually
-	// takes. It is small because only a connection is tried then.
+	// stallFactor is the stall timeout as a multiple of the mean latency. It is
+	// small because a stall only causes a connection probe.
 	stallFactor = 2
-	// responseWeight smooths the time that an answer takes.
+	// responseWeight is the weight of a new latency in the moving average.
 	responseWeight = 0.1
 )
 
-// StallDetector notices that somebody who used to answer doesn't any more. The zero
-// StallDetector has heard nothing yet. It isn't safe for concurrent use.
+// StallDetector detects that a peer no longer responds to calls. The zero
+// StallDetector is ready to use and has seen no call. It is not safe for
+// concurrent use.
 type StallDetector struct {
-	// sent counts the calls since the last answer, and since is when the first
-	// of them was sent.
-	sent  int
-	since time.Time
-	usual float64
+	// unanswered counts the calls sent since the last response, and
+	// firstUnanswered is the time when the first of them was sent.
+	unanswered      int
+	firstUnanswered time.Time
+	// meanLatency is a moving average in seconds.
+	meanLatency float64
 }
 
-// RecordSend notes that a call is sent.
+// RecordSend records that a call is sent.
 func (s *StallDetector) RecordSend(now time.Time) {
-	if s.sent == 0 {
-		s.since = now
+	if s.unanswered == 0 {
+		s.firstUnanswered = now
 	}
-	s.sent++
+	s.unanswered++
 }
 
-// RecordResponse notes an answer, whatever it says, and how long it took.
-func (s *StallDetector) RecordResponse(took time.Duration) {
-	s.sent = 0
-	s.usual += responseWeight * (took.Seconds() - s.usual)
+// RecordResponse records a response, successful or not, and its latency.
+func (s *StallDetector) RecordResponse(latency time.Duration) {
+	s.unanswered = 0
+	s.meanLatency += responseWeight * (latency.Seconds() - s.meanLatency)
 }
 
-// Deadline returns when the silence has lasted too long. It is false if no call waits
-// for an answer.
+// Deadline returns the time at which the peer counts as stalled if it sends no
+// response before. The result is false if no call waits for a response.
 func (s *StallDetector) Deadline() (time.Time, bool) {
-	usual := time.Duration(s.usual * float64(time.Second))
-	return s.since.Add(max(minStallTimeout, stallFactor*usual)), s.sent > 0
+	meanLatency := time.Duration(s.meanLatency * float64(time.Second))
+	return s.firstUnanswered.Add(max(minStallTimeout, stallFactor*meanLatency)), s.unanswered > 0
 }
 
-// Reset begins anew, as if nothing had been sent.
+// Reset forgets the calls that wait for a response. The mean latency is kept.
 func (s *StallDetector) Reset() {
-	s.sent = 0
+	s.unanswered = 0
 }
--- a/wharf/wharfrouting/stall_test.go
+++ b/wharf/wharfrouting/stall_test.go
@@ -7,7 +7,9 @@
 	"github.com/matryer/is"
 )
 
-func TestSilenceBeginsWithTheFirstCallUnanswered(t *testing.T) {
+// TestStallCountsFromFirstUnansweredCall guards against a deadline that moves with
+// each new call, so that a stalled peer is never detected under steady load.
+func TestStallCountsFromFirstUnansweredCall(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	var s StallDetector
@@ -23,7 +25,9 @@
 	is.True(!waits)
 }
 
-func TestSilenceOfTheSlowIsLonger(t *testing.T) {
+// TestStallTimeoutGrowsWithLatency guards against a slow peer that is taken for a
+// stalled one.
+func TestStallTimeoutGrowsWithLatency(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	var s StallDetector
--- a/wharf/wharfrouting/target.go
+++ b/wharf/wharfrouting/target.go
@@ -7,11 +7,12 @@
 	"ragwortwharf.dev/wharf/wharfadmission"
 )
 
-// Target is what membership and configuration say of a target.
+// Target describes a target as known from membership and configuration.
 type Target struct {
-	// Address is that of the target itself and identifies it.
+	// Address is the address of the target itself and identifies the target.
 	Address string
-	// Node is the id of its node and NodeAddress where the node listens.
+	// Node is the id of the target's node, and NodeAddress is the address on which
+	// that node listens.
 	Node          string
 	NodeAddress   string
 	FailureDomain string
@@ -20,92 +21,106 @@
 	Leaving       bool
 }
 
-// LoadReport is what an answer says of the load of its target.
+// LoadReport is the load of a target as reported in a response.
 type LoadReport struct {
 	Running int
 	Queued  int
 	Limit   int
-	// LowestRank is the largest rank that waits.
+	// LowestRank is the largest rank among the queued requests, which is that of
+	// the least important one. It is zero if the queue is empty.
 	LowestRank int
-	// QueueRoom is how many more requests may wait.
+	// QueueRoom is the number of requests that the queue can still take.
 	QueueRoom int
-	// RouteLevel is the lowest admission level that requests of this route met
-	// at the target or below it.
+	// RouteLevel is the lowest admission level for requests of this route at the
+	// target or downstream of it.
 	RouteLevel wharfadmission.Priority
-	// QueueDelay is the wait at the target or at what it calls, whichever is longer.
+	// QueueDelay is the queue delay at the target or downstream of it, whichever
+	// is longer.
 	QueueDelay time.Duration
-	// FromService says that this kind of request is a call of a service.
+	// FromService is true if requests of this route are calls by a service, not
+	// by a client.
 	FromService bool
-	// RetryAfter is the advice that came with a refusal.
+	// RetryAfter is the retry-after hint of a refusal, zero if there is none.
 	RetryAfter time.Duration
 }
 
-// Result is how an attempt at a target ended.
+// Result classifies the end of an attempt at a target.
 type Result uint8
 
 // Results of an attempt.
 const (
-	// Answered means that the target answered.
+	// Answered means that the target sent a complete response.
 	Answered Result = iota
-	// Refused means that the target's node did not run the request.
+	// Refused means that the target's node refused the request and did not run it.
 	Refused
-	// Unreachable means that the node could not be reached, or was lost.
+	// Unreachable means that the target's node could not be reached, or that the
+	// connection to it was lost.
 	Unreachable
-	// TargetFailed means that the node lives but its target broke off.
+	// TargetFailed means that the node is alive, but its target broke the
+	// connection or could not be reached.
 	TargetFailed
-	// ResponseLost means that the target lives and its answer was lost, or says that the
-	// target has failed.
+	// ResponseLost means that the target is alive, but its response was lost or
+	// incomplete, or reported a failure of the target.
 	ResponseLost
-	// Cancelled means that the sender gave up; it says nothing of the target.
+	// Cancelled means that the sender cancelled the attempt. The result does not
+	// count for or against the target.
 	Cancelled
 )
 
 const (
-	// firstEjection is how long a target is left out at first; the time
-	// doubles with each ejection in a row.
-	firstEjection = time.Second
-	maxEjection   = 30 * time.Second
-	// failuresToEject is how many failures in a row eject a target whose node
-	// can be reached. An unreachable node is ejected at once.
+	// initialEjection is the duration of the first ejection of a target. The
+	// duration doubles with each consecutive ejection, up to maxEjection
+	// (exponential backoff).
+	initialEjection = time.Second
+	maxEjection     = 30 * time.Second
+	// failuresToEject is the number of consecutive failures after which a target
+	// whose node is reachable is ejected. The target of an unreachable node is
+	// ejected at once.
 	failuresToEject = 3
 	// panicThreshold is the share of ejected targets above which ejection is
-	// ignored: then the trouble is not that of single targets.
+	// ignored, because the fault is then not in single targets.
 	panicThreshold = 0.5
-	// reportTTL is how long a report is believed.
+	// reportTTL is the age at which a load report expires.
 	reportTTL = time.Second
-	// slowStart is how long a new target is taken for busier than it says.
-	slowStart = 5 * time.Second
-	// slowStartCost multiplies the cost of a target that was just added.
-	slowStartCost = 4.0
-	// latencyWeight smooths the latency of a target.
+	// slowStartWindow is the time for which the cost of a new target is raised.
+	slowStartWindow = 5 * time.Second
+	// slowStartFactor multiplies the cost of a target that was just added. The
+	// factor falls linearly to 1 over slowStartWindow.
+	slowStartFactor = 4.0
+	// latencyWeight is the weight of a new latency in the moving average.
 	latencyWeight = 0.2
 
-	// lossWeight smooths the share of answers that a target loses.
+	// lossWeight is the weight of a new response or loss in the moving average of
+	// the lost share.
 	lossWeight = 0.1
-	// lossCost is what a target that fails all requests costs, in times that a
-	// full one does. It is added, because one that fails is idle however loaded the
-	// others are.
+	// lossCost is the cost of losing all responses, as a multiple of the cost of a
+	// fully loaded target. It is added to the load, not multiplied with it,
+	// because a target that fails its requests is idle however loaded the others
+	// are.
 	lossCost = 3.0
-	// lossHalfLife is the time in which what is known of losses counts half.
+	// lossHalfLife is the time in which the weight of past losses halves.
 	lossHalfLife = 2 * time.Second
 
-	otherDomainCost = 2.0
-	otherRegionCost = 8.0
+	// otherDomainFactor and otherRegionFactor multiply the cost of a target in
+	// another failure domain and in another region.
+	otherDomainFactor = 2.0
+	otherRegionFactor = 8.0
 )
 
-// targetState is what a node has learnt of a target from its own calls.
+// targetState is the state of a target as collected from this node's own attempts.
 type targetState struct {
 	Target
-	// hash is that of the address.
+	// hash is the hash of the address.
 	hash     uint64
-	added    time.Time
+	addedAt  time.Time
 	inFlight int
 	latency  float64
-	// losses is the share of answers that the target has lost of late.
-	losses   float64
-	lostLast time.Time
-	report   LoadReport
-	reported time.Time
+	// lossShare is the moving average of the share of lost responses, as of
+	// lastLoss. See lossRate for its present value.
+	lossShare  float64
+	lastLoss   time.Time
+	report     LoadReport
+	reportedAt time.Time
 
 	failures     int
 	ejections    int
@@ -116,25 +131,27 @@
 	return now.Before(s.ejectedUntil)
 }
 
-func (s *targetState) fresh(now time.Time) bool {
-	return !s.reported.IsZero() && now.Sub(s.reported) < reportTTL
+// hasCurrentReport reports whether there is a load report that has not expired.
+func (s *targetState) hasCurrentReport(now time.Time) bool {
+	return !s.reportedAt.IsZero() && now.Sub(s.reportedAt) < reportTTL
 }
 
-// hasLowerPriorityQueued reports whether work less important than a rank is known to wait
-// at the target, so that it would give way.
+// hasLowerPriorityQueued reports whether the target is known to queue a request
+// that is less important than the rank. The target would shed that request first.
 func (s *targetState) hasLowerPriorityQueued(now time.Time, rank int) bool {
-	return s.fresh(now) && s.report.LowestRank > rank
+	return s.hasCurrentReport(now) && s.report.LowestRank > rank
 }
 
-// hasQueueRoom reports whether more requests are known to be let in at the target.
+// hasQueueRoom reports whether the target is known to have queue capacity left.
 func (s *targetState) hasQueueRoom(now time.Time) bool {
-	return s.fresh(now) && s.report.QueueRoom > 0
+	return s.hasCurrentReport(now) && s.report.QueueRoom > 0
 }
 
-// cost estimates how long a request would take here, in arbitrary units.
+// cost estimates the duration of a request at the target, in arbitrary units. The
+// locality p is that of the sender.
 func (s *targetState) cost(now time.Time, p Locality) float64 {
 	limit, busy := s.Slots, s.inFlight
-	if s.fresh(now) {
+	if s.hasCurrentReport(now) {
 		limit = s.report.Limit
 		busy = max(busy, s.report.Running+s.report.Queued)
 	}
@@ -142,39 +159,40 @@
 	if s.latency > 0 {
 		cost *= s.latency
 	}
-	if age := now.Sub(s.added); age < slowStart {
-		cost *= 1 + (slowStartCost-1)*(1-age.Seconds()/slowStart.Seconds())
+	if age := now.Sub(s.addedAt); age < slowStartWindow {
+		cost *= 1 + (slowStartFactor-1)*(1-age.Seconds()/slowStartWindow.Seconds())
 	}
 	switch {
 	case s.Region != p.Region:
-		cost *= otherRegionCost
+		cost *= otherRegionFactor
 	case s.FailureDomain != p.FailureDomain:
-		cost *= otherDomainCost
+		cost *= otherDomainFactor
 	}
 	return cost
 }
 
-// lossRate returns the share of answers that the target loses. What is long past
-// counts less, because a target that is spared shows little of itself.
+// lossRate returns the share of responses that the target loses. Past losses decay
+// with lossHalfLife, because a target with a high cost receives too few requests
+// to show that it has recovered.
 func (s *targetState) lossRate(now time.Time) float64 {
-	if s.losses == 0 {
+	if s.lossShare == 0 {
 		return 0
 	}
-	return s.losses * math.Exp2(-now.Sub(s.lostLast).Seconds()/lossHalfLife.Seconds())
+	return s.lossShare * math.Exp2(-now.Sub(s.lastLoss).Seconds()/lossHalfLife.Seconds())
 }
 
-// lost counts an answer that didn't come.
-func (s *targetState) lost(now time.Time) {
+// recordLoss records a lost response.
+func (s *targetState) recordLoss(now time.Time) {
 	rate := s.lossRate(now)
-	s.losses, s.lostLast = rate+lossWeight*(1-rate), now
+	s.lossShare, s.lastLoss = rate+lossWeight*(1-rate), now
 }
 
-// observe takes the result of one attempt.
+// observe records the result of one attempt.
 func (s *targetState) observe(now time.Time, result Result, latency time.Duration) {
 	switch result {
 	case Answered:
 		s.failures, s.ejections = 0, 0
-		s.losses -= lossWeight * s.losses
+		s.lossShare -= lossWeight * s.lossShare
 		s.ejectedUntil = time.Time{}
 		if s.latency == 0 {
 			s.latency = latency.Seconds()
@@ -183,9 +201,9 @@
 	case Unreachable:
 		s.eject(now)
 	case ResponseLost:
-		s.lost(now)
+		s.recordLoss(now)
 	case TargetFailed:
-		s.lost(now)
+		s.recordLoss(now)
 		s.failures++
 		if s.failures >= failuresToEject {
 			s.eject(now)
@@ -193,12 +211,13 @@
 	}
 }
 
+// eject ejects the target, unless it is already ejected.
 func (s *targetState) eject(now time.Time) {
 	if s.ejected(now) {
 		return
 	}
-	span := min(firstEjection<<min(s.ejections, 10), maxEjection)
+	duration := min(initialEjection<<min(s.ejections, 10), maxEjection)
 	s.ejections++
 	s.failures = 0
-	s.ejectedUntil = now.Add(span)
+	s.ejectedUntil = now.Add(duration)
 }
