--- a/wharf/wharfquarantine/doc.go
+++ b/wharf/wharfquarantine/doc.go
@@ -1,10 +1,12 @@
 // Package wharfquarantine decides which requests are refused because they
 // crash the targets that run them.
 //
-// The target side of a node reports a crash with the fingerprints that were
-// in flight. A fingerprint that was in flight in the crashes of two targets is
-// quarantined. Requests that merely stood beside it are cleared when they
-// succeed, and every entry expires. Nodes exchange their entries.
+// A node records each crash of its target with the fingerprints of the requests
+// that were in flight. A fingerprint that was in flight during one crash is
+// suspected; after a second crash it is quarantined. A suspected fingerprint is
+// cleared when a request with it completes without a crash, because such a request
+// was only in flight by coincidence. Every entry expires. Nodes exchange their
+// entries.
 //
-// The package is pure; times and events come from the node.
+// The package does no I/O and reads no clock; the node passes in times and events.
 package wharfquarantine
--- a/wharf/wharfquarantine/entry.go
+++ b/wharf/wharfquarantine/entry.go
@@ -6,34 +6,36 @@
 )
 
 const (
-	// crashesToQuarantine is how many crashes a request may cause.
+	// crashesToQuarantine is the number of crashes after which a request is
+	// quarantined.
 	crashesToQuarantine = 2
-	// maxCrashes bounds the crashes that are kept for one request.
+	// maxCrashes bounds the number of crashes that are kept per request.
 	maxCrashes = 16
 )
 
-// Fingerprint identifies a request over its resends.
+// Fingerprint identifies a request and all its resends.
 type Fingerprint uint64
 
-// CrashID names one crash of one target.
+// CrashID identifies one crash of one target.
 type CrashID struct {
 	// Target is the address of the target that crashed.
 	Target string
-	// Incarnation is that of the node which saw it, and Number counts the
-	// crashes that it has seen.
+	// Incarnation is the incarnation of the node that detected the crash, and
+	// Number is the count of crashes that the node has detected so far.
 	Incarnation uint64
 	Number      int
 }
 
-// Crash is a crash that a request was in flight in.
+// Crash is a crash during which a request was in flight.
 type Crash struct {
 	CrashID
-	// Cleared says that the request has run without harm since. It is kept so
-	// that word from a node which doesn't know it can't bring the blame back.
+	// Cleared is true if the request has completed without a crash since. The
+	// cleared crash is kept, so that merging the entry of a node that does not
+	// know about the success can't make the request suspected again.
 	Cleared bool
 }
 
-// Entry is what is known against a fingerprint.
+// Entry holds the crashes during which requests with a fingerprint were in flight.
 type Entry struct {
 	Fingerprint Fingerprint
 	Crashes     []Crash
@@ -41,12 +43,13 @@
 	Expires     time.Time
 }
 
-// Suspected reports whether a crash is held against the fingerprint.
+// Suspected reports whether the fingerprint has a crash that is not cleared.
 func (e Entry) Suspected() bool {
 	return len(e.Targets()) > 0
 }
 
-// Targets lists the targets whose crashes are held against the fingerprint.
+// Targets lists the addresses of the targets of all crashes that are not cleared.
+// A target that crashed twice is listed twice.
 func (e Entry) Targets() []string {
 	var out []string
 	for _, c := range e.Crashes {
@@ -57,14 +60,15 @@
 	return out
 }
 
-func (e Entry) find(id CrashID) int {
+// crashIndex returns the index of a crash, or -1.
+func (e Entry) crashIndex(id CrashID) int {
 	return slices.IndexFunc(e.Crashes, func(c Crash) bool { return c.CrashID == id })
 }
 
-// with returns the entry with a crash, and whether that changes it. A crash
-// once forgiven stays forgiven.
-func (e Entry) with(c Crash) (Entry, bool) {
-	i := e.find(c.CrashID)
+// withCrash returns the entry with a crash added, and whether the entry changed.
+// A cleared crash stays cleared.
+func (e Entry) withCrash(c Crash) (Entry, bool) {
+	i := e.crashIndex(c.CrashID)
 	if i >= 0 && (e.Crashes[i].Cleared || !c.Cleared) {
 		return e, false
 	}
@@ -79,7 +83,8 @@
 	return e, true
 }
 
-// dropCleared makes room for a crash by dropping the oldest forgiven one.
+// dropCleared makes room for another crash if the list is full. It drops the oldest
+// cleared crash, or the oldest of all if none is cleared.
 func dropCleared(crashes []Crash) []Crash {
 	if len(crashes) < maxCrashes {
 		return crashes
--- a/wharf/wharfquarantine/list.go
+++ b/wharf/wharfquarantine/list.go
@@ -8,17 +8,20 @@
 )
 
 const (
-	// suspicionTTL is how long a suspicion lasts after the last crash.
+	// suspicionTTL is the time after its last crash for which a request stays
+	// suspected.
 	suspicionTTL = 2 * time.Minute
-	// quarantineTTL is how long a request is refused after the last crash.
+	// quarantineTTL is the time after its last crash for which a quarantined
+	// request is refused.
 	quarantineTTL = 10 * time.Minute
-	// maxEntries bounds the memory of the list.
+	// maxEntries bounds the number of entries, and so the memory, of the list.
 	maxEntries = 10_000
 
 	listShards = 16
 )
 
-// List keeps the entries of one node. The zero List is empty.
+// List holds the entries that one node knows about. The zero List is empty and
+// ready to use. It is safe for concurrent use.
 type List struct {
 	shards [listShards]listShard
 }
@@ -32,25 +35,28 @@
 	return &l.shards[uint64(fp)%listShards]
 }
 
-// RecordCrash records that a target crashed while fingerprints were in flight, and
-// returns the entries that others have to learn.
+// RecordCrash records that a target crashed while requests with the given
+// fingerprints were in flight. It returns the changed entries, which the other
+// nodes have to merge. A request that is already quarantined is not changed.
 func (l *List) RecordCrash(now time.Time, id CrashID, inFlight []Fingerprint) []Entry {
 	var changed []Entry
 	for _, fp := range inFlight {
-		if e, news := l.addCrash(now, fp, id); news {
+		if e, ok := l.addCrash(now, fp, id); ok {
 			changed = append(changed, e)
 		}
 	}
 	return changed
 }
 
+// addCrash adds a crash to the entry of a fingerprint, and reports whether that
+// changed the entry.
 func (l *List) addCrash(now time.Time, fp Fingerprint, id CrashID) (Entry, bool) {
 	s := l.shard(fp)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	old := s.get(now, fp)
-	e, news := old.with(Crash{CrashID: id})
-	if old.Quarantined || !news {
+	e, changed := old.withCrash(Crash{CrashID: id})
+	if old.Quarantined || !changed {
 		return old, false
 	}
 	e.Expires = now.Add(suspicionTTL)
@@ -61,7 +67,7 @@
 	return e, true
 }
 
-// Merge takes an entry from another node.
+// Merge merges an entry of another node. It ignores an expired one.
 func (l *List) Merge(now time.Time, other Entry) {
 	s := l.shard(other.Fingerprint)
 	s.mu.Lock()
@@ -71,7 +77,7 @@
 	}
 	e := s.get(now, other.Fingerprint)
 	for _, c := range other.Crashes {
-		e, _ = e.with(c)
+		e, _ = e.withCrash(c)
 	}
 	e.Quarantined = e.Quarantined || other.Quarantined
 	if other.Expires.After(e.Expires) {
@@ -80,8 +86,10 @@
 	s.put(now, e)
 }
 
-// RecordSuccess forgives a request that ran without harm, and returns the entry
-// that others have to learn, if there was blame. A quarantine stays.
+// RecordSuccess clears a suspected request that completed without a crash. It
+// returns the changed entry, which the other nodes have to merge. The result is
+// false if the request was not suspected, or is quarantined: a quarantine lasts
+// until it expires.
 func (l *List) RecordSuccess(now time.Time, fp Fingerprint) (Entry, bool) {
 	s := l.shard(fp)
 	s.mu.Lock()
@@ -91,13 +99,14 @@
 		return e, false
 	}
 	for _, c := range e.Crashes {
-		e, _ = e.with(Crash{c.CrashID, true})
+		e, _ = e.withCrash(Crash{c.CrashID, true})
 	}
 	s.put(now, e)
 	return e, true
 }
 
-// Quarantined reports whether a request is to be refused, and until when.
+// Quarantined reports whether a request must be refused, and returns the time
+// until its quarantine expires.
 func (l *List) Quarantined(now time.Time, fp Fingerprint) (time.Duration, bool) {
 	e, ok := l.lookup(now, fp)
 	if !ok || !e.Quarantined {
@@ -106,14 +115,15 @@
 	return e.Expires.Sub(now), true
 }
 
-// Suspected reports whether a request was in flight in a crash and has not run
-// without harm since.
+// Suspected reports whether a request was in flight during a crash and has not
+// completed without a crash since.
 func (l *List) Suspected(now time.Time, fp Fingerprint) bool {
 	_, suspected := l.Suspicion(now, fp)
 	return suspected
 }
 
-// Suspicion returns what is held against a request, if anything is.
+// Suspicion returns the entry of a suspected request. The result is false if the
+// request is not suspected.
 func (l *List) Suspicion(now time.Time, fp Fingerprint) (Entry, bool) {
 	e, ok := l.lookup(now, fp)
 	if !ok || !e.Suspected() {
@@ -122,6 +132,8 @@
 	return e, true
 }
 
+// lookup returns the entry of a fingerprint. The result is false if there is none or
+// it has expired.
 func (l *List) lookup(now time.Time, fp Fingerprint) (Entry, bool) {
 	s := l.shard(fp)
 	s.mu.Lock()
@@ -130,7 +142,7 @@
 	return e, ok && now.Before(e.Expires)
 }
 
-// Entries returns all entries that haven't expired.
+// Entries returns all entries that have not expired, in no particular order.
 func (l *List) Entries(now time.Time) []Entry {
 	var out []Entry
 	for i := range l.shards {
@@ -146,8 +158,9 @@
 	return out
 }
 
-// Sample returns at most n entries: quarantines first, and others as chance has
-// it, so that each is told to others in the end.
+// Sample returns at most n entries: quarantined ones first, in random order within
+// each kind. The random order ensures that repeated samples reach the other nodes
+// with every entry.
 func (l *List) Sample(now time.Time, rng *rand.Rand, n int) []Entry {
 	entries := l.Entries(now)
 	rng.Shuffle(len(entries), func(i, j int) { entries[i], entries[j] = entries[j], entries[i] })
@@ -164,7 +177,8 @@
 	return entries[:min(n, len(entries))]
 }
 
-// get returns the entry of a fingerprint, or a new one if it has expired.
+// get returns the entry of a fingerprint, or a new one if there is none or it has
+// expired. The caller must hold the lock.
 func (s *listShard) get(now time.Time, fp Fingerprint) Entry {
 	if e, ok := s.entries[fp]; ok && now.Before(e.Expires) {
 		return e
@@ -172,6 +186,8 @@
 	return Entry{Fingerprint: fp}
 }
 
+// put stores an entry and evicts others if the shard is full. The caller must hold
+// the lock.
 func (s *listShard) put(now time.Time, e Entry) {
 	if s.entries == nil {
 		s.entries = make(map[Fingerprint]Entry)
@@ -182,7 +198,8 @@
 	s.entries[e.Fingerprint] = e
 }
 
-// evict drops expired entries, and mere suspicions if that isn't enough.
+// evict drops the expired entries. If the shard is still full, evict drops entries
+// that are not quarantined until the shard is no longer full.
 func (s *listShard) evict(now time.Time) {
 	for fp, e := range s.entries {
 		if !now.Before(e.Expires) {
--- a/wharf/wharfquarantine/list_test.go
+++ b/wharf/wharfquarantine/list_test.go
@@ -43,15 +43,15 @@
 			l.RecordSuccess(epoch, 1)
 			l.RecordCrash(epoch, crash("b", 1), []Fingerprint{1})
 		}, epoch, false},
-		{"second crash was seen elsewhere", func(l *List) {
+		{"second crash merged from another node", func(l *List) {
 			l.RecordCrash(epoch, crash("a", 1), []Fingerprint{1})
 			l.Merge(epoch, Entry{Fingerprint: 1, Crashes: []Crash{{CrashID: crash("b", 1)}}, Expires: epoch.Add(time.Minute)})
 		}, epoch, true},
-		{"after it expired", func(l *List) {
+		{"quarantine expired", func(l *List) {
 			l.RecordCrash(epoch, crash("a", 1), []Fingerprint{1})
 			l.RecordCrash(epoch, crash("b", 1), []Fingerprint{1})
 		}, epoch.Add(quarantineTTL), false},
-		{"old news", func(l *List) {
+		{"expired entry merged", func(l *List) {
 			l.Merge(epoch, Entry{Fingerprint: 1, Quarantined: true, Expires: epoch})
 		}, epoch, false},
 	}
@@ -65,9 +65,10 @@
 	}
 }
 
-// crashRun resends one deadly request at random over targets, and tells all
-// lists of a crash before the next send. It returns the number of crashes.
-func crashRun(t *rapid.T, check func(l *List, now time.Time) bool) int {
+// simulateResends sends one request that crashes every target that runs it to
+// random nodes. After each crash, all lists merge the changed entries before the
+// next send. The result is the number of crashes.
+func simulateResends(t *rapid.T, check func(l *List, now time.Time) bool) int {
 	const nodes = 5
 	var lists [nodes]List
 	crashes := 0
@@ -89,28 +90,33 @@
 	return crashes
 }
 
+// TestAtMostTwoCrashes guards against a request that crashes one target after the
+// other while it is resent.
 func TestAtMostTwoCrashes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		crashes := crashRun(t, func(l *List, now time.Time) bool {
+		crashes := simulateResends(t, func(l *List, now time.Time) bool {
 			_, refused := l.Quarantined(now, 7)
 			return refused
 		})
 		if crashes > crashesToQuarantine {
-			t.Fatalf("%d crashes", crashes)
+			t.Fatalf("request caused %d crashes", crashes)
 		}
 	})
 }
 
-// TestWithoutQuarantineManyCrash shows that the property above has teeth.
-func TestWithoutQuarantineManyCrash(t *testing.T) {
+// TestMoreCrashesWithoutQuarantine checks that TestAtMostTwoCrashes can fail:
+// without a quarantine, there are more crashes.
+func TestMoreCrashesWithoutQuarantine(t *testing.T) {
 	worst := 0
 	rapid.Check(t, func(t *rapid.T) {
-		worst = max(worst, crashRun(t, func(*List, time.Time) bool { return false }))
+		worst = max(worst, simulateResends(t, func(*List, time.Time) bool { return false }))
 	})
 	is.New(t).True(worst > crashesToQuarantine)
 }
 
-func TestBystandersAreCleared(t *testing.T) {
+// TestSuccessClearsInFlightRequest guards against the quarantine of a request that
+// was in flight during two crashes, but completed without a crash in between.
+func TestSuccessClearsInFlightRequest(t *testing.T) {
 	is := is.New(t)
 	var l List
 	l.RecordCrash(epoch, crash("a", 1), []Fingerprint{1, 2})
@@ -122,9 +128,11 @@
 	is.True(!refused)
 }
 
-// TestForgivenCrashStaysForgiven lets nodes tell each other of one crash in any
-// order, some before and some after they learn that the request was harmless.
-func TestForgivenCrashStaysForgiven(t *testing.T) {
+// TestClearedCrashStaysCleared guards against a node that suspects a request again,
+// because it merges the entry of a node that does not know about the success. The
+// nodes exchange the entry of one crash in any order, some of them before they
+// merge the success and some of them after it.
+func TestClearedCrashStaysCleared(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const nodes = 4
 		var lists [nodes]List
@@ -134,20 +142,22 @@
 			}
 		}
 		lists[0].RecordSuccess(epoch, 1)
-		forgiven := [nodes]bool{true}
+		cleared := [nodes]bool{true}
 		for range rapid.IntRange(1, 30).Draw(t, "exchanges") {
 			from, to := rapid.IntRange(0, nodes-1).Draw(t, "from"), rapid.IntRange(0, nodes-1).Draw(t, "to")
 			for _, e := range lists[from].Entries(epoch) {
 				lists[to].Merge(epoch, e)
 			}
-			forgiven[to] = forgiven[to] || forgiven[from]
-			if forgiven[to] && lists[to].Suspected(epoch, 1) {
-				t.Fatalf("node %d suspects again", to)
+			cleared[to] = cleared[to] || cleared[from]
+			if cleared[to] && lists[to].Suspected(epoch, 1) {
+				t.Fatalf("node %d suspects the cleared request again", to)
 			}
 		}
 	})
 }
 
+// TestCrashesOfOneRequestAreBounded guards against an entry that grows with each
+// crash of a target, because the request is cleared after each of them.
 func TestCrashesOfOneRequestAreBounded(t *testing.T) {
 	is := is.New(t)
 	var l List
@@ -159,7 +169,8 @@
 	is.True(!l.Suspected(epoch, 1))
 }
 
-// TestSampleReachesEveryEntry takes samples that hold a part of the list only.
+// TestSampleReachesEveryEntry guards against entries that are never sent, because
+// a sample holds only a part of the list.
 func TestSampleReachesEveryEntry(t *testing.T) {
 	is := is.New(t)
 	var l List
@@ -181,6 +192,8 @@
 	is.Equal(len(seen), entries)
 }
 
+// TestMemoryIsBounded guards against a list that grows with the number of different
+// suspected requests.
 func TestMemoryIsBounded(t *testing.T) {
 	var l List
 	for i := range Fingerprint(3 * maxEntries) {
--- a/wharf/wharfquarantine/safeset.go
+++ b/wharf/wharfquarantine/safeset.go
@@ -2,29 +2,30 @@
 
 import "sync"
 
-// maxSafe bounds the fingerprints that a SafeSet remembers.
+// maxSafe bounds the number of fingerprints in a SafeSet.
 const maxSafe = 32_768
 
-// SafeSet remembers requests that ran without crashing their target. Those not
-// seen for long give way to others. The zero SafeSet is empty.
+// SafeSet holds the fingerprints of requests that completed without a crash. It is
+// bounded: fingerprints that were not added again for long are dropped. The zero
+// SafeSet is empty and ready to use. It is safe for concurrent use.
 type SafeSet struct {
 	shards [listShards]safeShard
 }
 
-// safeShard keeps two generations; the older one is dropped when the newer
-// one is full.
+// safeShard keeps the fingerprints in two generations. When the young one is full,
+// the old one is dropped and the young one takes its place.
 type safeShard struct {
 	mu         sync.Mutex
 	young, old map[Fingerprint]struct{}
 }
 
-func (h *SafeSet) shard(fp Fingerprint) *safeShard {
-	return &h.shards[uint64(fp)%listShards]
+func (set *SafeSet) shard(fp Fingerprint) *safeShard {
+	return &set.shards[uint64(fp)%listShards]
 }
 
-// Add remembers a fingerprint.
-func (h *SafeSet) Add(fp Fingerprint) {
-	s := h.shard(fp)
+// Add adds a fingerprint.
+func (set *SafeSet) Add(fp Fingerprint) {
+	s := set.shard(fp)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if _, ok := s.young[fp]; ok {
@@ -36,18 +37,18 @@
 	s.young[fp] = struct{}{}
 }
 
-// Remove forgets a fingerprint.
-func (h *SafeSet) Remove(fp Fingerprint) {
-	s := h.shard(fp)
+// Remove removes a fingerprint, if it is in the set.
+func (set *SafeSet) Remove(fp Fingerprint) {
+	s := set.shard(fp)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.young, fp)
 	delete(s.old, fp)
 }
 
-// Has reports whether a fingerprint is remembered.
-func (h *SafeSet) Has(fp Fingerprint) bool {
-	s := h.shard(fp)
+// Has reports whether a fingerprint is in the set.
+func (set *SafeSet) Has(fp Fingerprint) bool {
+	s := set.shard(fp)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	_, young := s.young[fp]
--- a/wharf/wharfquarantine/safeset_test.go
+++ b/wharf/wharfquarantine/safeset_test.go
@@ -6,31 +6,33 @@
 	"github.com/matryer/is"
 )
 
-func TestHarmlessIsBoundedAndKeepsWhatIsUsed(t *testing.T) {
+// TestSafeSetIsBounded checks that the set drops old fingerprints, but keeps one
+// that is added again and again.
+func TestSafeSetIsBounded(t *testing.T) {
 	is := is.New(t)
-	var h SafeSet
-	is.True(!h.Has(7))
+	var set SafeSet
+	is.True(!set.Has(7))
 	for i := range Fingerprint(5 * maxSafe) {
-		h.Add(7)
-		h.Add(1000 + i)
+		set.Add(7)
+		set.Add(1000 + i)
 	}
-	is.True(h.Has(7))
-	is.True(h.Has(1000 + 5*maxSafe - 1))
-	is.True(!h.Has(1000))
-	kept := 0
-	for i := range h.shards {
-		kept += len(h.shards[i].young) + len(h.shards[i].old)
+	is.True(set.Has(7))
+	is.True(set.Has(1000 + 5*maxSafe - 1))
+	is.True(!set.Has(1000))
+	size := 0
+	for i := range set.shards {
+		size += len(set.shards[i].young) + len(set.shards[i].old)
 	}
-	is.True(kept <= maxSafe)
-	h.Remove(7)
-	is.True(!h.Has(7))
+	is.True(size <= maxSafe)
+	set.Remove(7)
+	is.True(!set.Has(7))
 }
 
-func BenchmarkHarmless(b *testing.B) {
-	var h SafeSet
+func BenchmarkSafeSet(b *testing.B) {
+	var set SafeSet
 	b.ReportAllocs()
 	for b.Loop() {
-		h.Add(7)
-		h.Has(7)
+		set.Add(7)
+		set.Has(7)
 	}
 }
