--- a/wharf/wharfroute/doc.go
+++ b/wharf/wharfroute/doc.go
@@ -1,7 +1,7 @@
-// Package wharfroute decides which services a request goes to, from its host
-// and path.
+// Package wharfroute maps the host and path of a request to a route and its
+// services.
 //
-// Routes come as whole sets in rising versions. A Table is one set with an
-// index; it never changes, so that a request sees one version from its start to
-// its end.
+// Routes are published as complete sets with increasing versions. A Table is the
+// index of one set. A Table is immutable, so a request uses one version of the
+// routes from its start to its end.
 package wharfroute
--- a/wharf/wharfroute/roundrobin.go
+++ b/wharf/wharfroute/roundrobin.go
@@ -2,28 +2,33 @@
 
 import "slices"
 
-// WeightedRoundRobin deals the requests of one route to its services in proportion to
-// their weights, evenly over any short run of requests. It isn't safe for
-// concurrent use; its owner holds a lock. The zero WeightedRoundRobin is ready to use.
+// WeightedRoundRobin distributes the requests of one route over its services in
+// proportion to their weights. The algorithm is smooth weighted round robin, so that
+// short sequences of requests are also close to the proportion. The zero
+// WeightedRoundRobin is ready to use. It is not safe for concurrent use; the caller
+// must hold a lock.
 type WeightedRoundRobin struct {
-	shares []WeightedService
-	credit []int
+	services []WeightedService
+	credit   []int
 }
 
-// Next returns the service of the next request.
+// Next returns the service for the next request of the route. The only service of a
+// route is returned whatever its weight. Next returns "" if a route has no service
+// with a weight above zero. A change of the services or weights resets the credits.
 func (s *WeightedRoundRobin) Next(r *Route) string {
 	if len(r.Services) == 1 {
 		return r.Services[0].Service
 	}
-	if !slices.Equal(s.shares, r.Services) {
-		s.shares, s.credit = r.Services, make([]int, len(r.Services))
+	if !slices.Equal(s.services, r.Services) {
+		s.services, s.credit = r.Services, make([]int, len(r.Services))
 	}
-	// Each service earns its weight with each request; the one that is owed
-	// most gets the request and pays for all.
+	// Each request adds every service's weight to its credit. The service with
+	// the highest credit gets the request, and the total weight is subtracted
+	// from that credit.
 	best := -1
-	for i, share := range s.shares {
-		s.credit[i] += share.Weight
-		if share.Weight > 0 && (best < 0 || s.credit[i] > s.credit[best]) {
+	for i, service := range s.services {
+		s.credit[i] += service.Weight
+		if service.Weight > 0 && (best < 0 || s.credit[i] > s.credit[best]) {
 			best = i
 		}
 	}
@@ -31,5 +36,5 @@
 		return ""
 	}
 	s.credit[best] -= r.TotalWeight()
-	return s.shares[best].Service
+	return s.services[best].Service
 }
--- a/wharf/wharfroute/route.go
+++ b/wharf/wharfroute/route.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// WeightedService is the part of a route's requests that one service gets.
+// WeightedService is a service with its weight in a route. The service gets the
+// share of the route's requests that its weight has in the total weight.
 type WeightedService struct {
 	Service string `json:"service"`
 	Weight  int    `json:"weight"`
@@ -18,14 +19,16 @@
 	// Prefix begins and ends with a slash.
 	Prefix   string            `json:"prefix"`
 	Services []WeightedService `json:"shares"`
-	// Rank orders routes; zero is the most important.
+	// Rank is the importance of the requests. Zero is the most important rank.
 	Rank       int  `json:"rank"`
 	Idempotent bool `json:"idempotent"`
-	// Timeout is the longest time that a caller is kept waiting.
+	// Timeout is the maximum time until the caller gets a response.
 	Timeout time.Duration `json:"timeout"`
-	// Objective is the time in which an answer has its full value.
+	// Objective is the latency up to which a response has its full value for the
+	// caller.
 	Objective time.Duration `json:"objective"`
-	// Targets is how many targets one request may be sent to.
+	// Targets is the maximum number of targets that one request may reach. Zero
+	// means no limit.
 	Targets int `json:"targets"`
 }
 
@@ -38,7 +41,8 @@
 	return sum
 }
 
-// Allows reports whether the route sends requests to a service.
+// Allows reports whether the route sends requests to a service, which needs a
+// weight above zero.
 func (r *Route) Allows(service string) bool {
 	for _, s := range r.Services {
 		if s.Service == service && s.Weight > 0 {
@@ -48,7 +52,8 @@
 	return false
 }
 
-// Limits bound what callers may send and how long they may take.
+// Limits bounds the size of callers' requests and the time that callers may take to
+// send them.
 type Limits struct {
 	HeaderBytes   int           `json:"header-bytes"`
 	BodyBytes     int64         `json:"body-bytes"`
@@ -56,39 +61,42 @@
 	IdleTimeout   time.Duration `json:"idle-timeout"`
 }
 
-// Set is one version of all routes, as it is stored and sent.
+// Set is one version of all routes, in the form that is stored and sent to nodes.
 type Set struct {
 	Version uint64  `json:"version"`
 	Routes  []Route `json:"routes"`
 	Limits  Limits  `json:"limits"`
 }
 
-// place is what a route is found by.
-type place struct {
+// routeKey is the key of a route in the index. The host is in lower case.
+type routeKey struct {
 	host, prefix string
 }
 
-// Table is a set of routes with an index. A nil Table knows no route.
+// Table is an index of a set of routes. A nil Table has no routes. A Table is
+// immutable and safe for concurrent use.
 type Table struct {
-	set    Set
-	routes map[place]*Route
-	names  map[string]struct{}
+	set      Set
+	routes   map[routeKey]*Route
+	services map[string]struct{}
 }
 
-// NewTable indexes a set of routes. The caller must not change it any more.
+// NewTable returns an index of a set of routes. The caller must not modify the set
+// afterwards.
 func NewTable(set Set) *Table {
-	t := &Table{set: set, routes: make(map[place]*Route, len(set.Routes)), names: map[string]struct{}{}}
+	t := &Table{set: set, routes: make(map[routeKey]*Route, len(set.Routes)), services: map[string]struct{}{}}
 	for i := range set.Routes {
 		r := &set.Routes[i]
-		t.routes[place{strings.ToLower(r.Host), r.Prefix}] = r
+		t.routes[routeKey{strings.ToLower(r.Host), r.Prefix}] = r
 		for _, s := range r.Services {
-			t.names[s.Service] = struct{}{}
+			t.services[s.Service] = struct{}{}
 		}
 	}
 	return t
 }
 
-// Set returns the stored form.
+// Set returns the set of routes, an empty one for a nil Table. The caller must not
+// modify it.
 func (t *Table) Set() Set {
 	if t == nil {
 		return Set{}
@@ -96,29 +104,29 @@
 	return t.set
 }
 
-// Version returns the version of the set, zero if there is none.
+// Version returns the version of the set, zero for a nil Table.
 func (t *Table) Version() uint64 {
 	return t.Set().Version
 }
 
-// HasService reports whether some route leads to a service.
+// HasService reports whether a route names the service, with any weight.
 func (t *Table) HasService(name string) bool {
 	if t == nil {
 		return false
 	}
-	_, ok := t.names[name]
+	_, ok := t.services[name]
 	return ok
 }
 
-// Find returns the route of the host with the longest prefix of the path, or
-// nil.
+// Find returns the route of the host with the longest matching prefix of the path,
+// or nil if none matches. The case of the host does not matter.
 func (t *Table) Find(host, path string) *Route {
 	if t == nil {
 		return nil
 	}
 	host = strings.ToLower(host)
 	for end := strings.LastIndexByte(path, '/'); end >= 0; end = strings.LastIndexByte(path[:end], '/') {
-		if r, ok := t.routes[place{host, path[:end+1]}]; ok {
+		if r, ok := t.routes[routeKey{host, path[:end+1]}]; ok {
 			return r
 		}
 	}
--- a/wharf/wharfroute/route_test.go
+++ b/wharf/wharfroute/route_test.go
@@ -15,13 +15,13 @@
 	}})
 	tests := []struct{ name, host, path, want string }{
 		{"exact prefix", "a.example", "/x/", "short"},
-		{"longest wins", "a.example", "/x/y/z", "long"},
-		{"not within a segment", "a.example", "/x/yy", "short"},
-		{"host in other letters", "A.Example", "/x/1", "short"},
-		{"no slash at the end", "a.example", "/x", ""},
+		{"longest prefix", "a.example", "/x/y/z", "long"},
+		{"prefix matches whole segments", "a.example", "/x/yy", "short"},
+		{"host in another case", "A.Example", "/x/1", "short"},
+		{"no trailing slash", "a.example", "/x", ""},
 		{"other host", "c.example", "/x/1", ""},
 		{"root", "b.example", "/anything", "root"},
-		{"no path", "b.example", "", ""},
+		{"empty path", "b.example", "", ""},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
@@ -35,9 +35,10 @@
 	is.New(t).True((*Table)(nil).Find("a.example", "/x/") == nil)
 }
 
-// TestSpreadKeepsWeights deals any number of requests by any weights. Each
-// service has its share at every moment, to within one request a service.
-func TestSpreadKeepsWeights(t *testing.T) {
+// TestWeightedRoundRobinFollowsWeights checks that after every request, each service
+// has its share of all requests so far. The allowed difference, in requests, is the
+// number of services.
+func TestWeightedRoundRobinFollowsWeights(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		weights := rapid.SliceOfN(rapid.IntRange(0, 100), 1, 5).Draw(t, "weights")
 		r := &Route{}
@@ -52,10 +53,10 @@
 		counts := map[string]int{}
 		for n := 1; n <= 300; n++ {
 			counts[s.Next(r)]++
-			for _, share := range r.Services {
-				off := float64(counts[share.Service]) - float64(n*share.Weight)/float64(total)
+			for _, service := range r.Services {
+				off := float64(counts[service.Service]) - float64(n*service.Weight)/float64(total)
 				if off < -float64(len(weights)) || off > float64(len(weights)) {
-					t.Fatalf("after %d requests %s is off by %f", n, share.Service, off)
+					t.Fatalf("after %d requests, service %s is off its share by %f requests", n, service.Service, off)
 				}
 			}
 		}
