--- a/wharf/wharfselector/selector.go
+++ b/wharf/wharfselector/selector.go
@@ -9,13 +9,14 @@
 // Labels are the key and value pairs that describe a request or a target.
 type Labels = labels.Set
 
-// Selector picks out label sets. The zero Selector matches nothing.
+// Selector is a parsed label selector. The zero Selector matches nothing.
 type Selector struct {
 	inner labels.Selector
 }
 
-// Parse reads a selector. An empty text is an error, because a rule that
-// matches everything is nearly always a slip; "*" says it on purpose.
+// Parse parses a selector. The text "*" matches everything. An empty text is an
+// error with the code "selector-empty", because a rule that matches everything is
+// nearly always a mistake. Other invalid texts give the code "selector-syntax".
 func Parse(text string) (Selector, error) {
 	if text == "*" {
 		return Selector{inner: labels.Everything()}, nil
@@ -30,12 +31,13 @@
 	return Selector{inner: inner}, nil
 }
 
-// Matches reports whether the selector picks out the labels.
+// Matches reports whether the selector matches the labels.
 func (s Selector) Matches(set Labels) bool {
 	return s.inner != nil && s.inner.Matches(set)
 }
 
-// String returns the canonical form of the selector.
+// String returns the canonical form of the selector, which Parse accepts. It is
+// empty for the zero Selector.
 func (s Selector) String() string {
 	if s.inner == nil {
 		return ""
@@ -46,9 +48,9 @@
 	return s.inner.String()
 }
 
-// RequiredValues returns the values that the selector allows for a key. It is
-// false if the selector doesn't narrow the key to a list, so callers can index
-// rules by the key without evaluating them.
+// RequiredValues returns the values that the selector allows for a key. The result
+// is false if the selector does not restrict the key to a list of values. Callers
+// use it to index rules by a key, so that they need not evaluate every rule.
 func (s Selector) RequiredValues(key string) ([]string, bool) {
 	if s.inner == nil {
 		return nil, false
@@ -66,7 +68,8 @@
 	return nil, false
 }
 
-// CheckLabels reports the faults of a label set.
+// CheckLabels returns an error with the code "label-syntax" if a key or value of the
+// label set is invalid.
 func CheckLabels(set Labels) error {
 	_, err := labels.ValidatedSelectorFromSet(set)
 	if err != nil {
--- a/wharf/wharfselector/selector_test.go
+++ b/wharf/wharfselector/selector_test.go
@@ -32,6 +32,8 @@
 	is.New(t).True(!Selector{}.Matches(Labels{}))
 }
 
+// FuzzParse checks that Parse accepts the canonical form of every selector and that
+// this form is stable.
 func FuzzParse(f *testing.F) {
 	f.Add("a=b,c in (d,e),!f")
 	f.Add("*")
@@ -42,10 +44,10 @@
 		}
 		again, err := Parse(s.String())
 		if err != nil {
-			t.Fatalf("canonical form %q of %q: %v", s.String(), text, err)
+			t.Fatalf("parse canonical form %q of %q: %v", s.String(), text, err)
 		}
 		if again.String() != s.String() {
-			t.Fatalf("%q and %q", again.String(), s.String())
+			t.Fatalf("canonical form is %q, want %q", again.String(), s.String())
 		}
 	})
 }
