--- a/wharf/wharfconfig/change.go
+++ b/wharf/wharfconfig/change.go
@@ -2,21 +2,22 @@
 
 import "time"
 
-// Edit puts or deletes one object. Base is the version that the author saw:
-// the offset of the change that last touched the object, zero for a new one.
+// Edit creates, replaces or deletes one object. Base is the version that the
+// author edited: the offset of the change that last set the object, zero for a
+// new object. A nil Document deletes the object.
 type Edit struct {
 	Key      ObjectKey `json:"key"`
 	Base     uint64    `json:"base"`
 	Document *Document `json:"document,omitempty"`
 }
 
-// Deletes reports whether the edit removes its object.
+// Deletes reports whether the edit deletes its object.
 func (e Edit) Deletes() bool {
 	return e.Document == nil
 }
 
-// Change is a set of edits that are accepted or rejected together. Its id
-// stays the same when an append is repeated.
+// Change is a set of edits that are accepted or rejected together. A repeated
+// append of the same change has the same ID.
 type Change struct {
 	ID     string    `json:"id"`
 	Author string    `json:"author"`
@@ -25,20 +26,21 @@
 	Edits  []Edit    `json:"edits"`
 }
 
-// Conflict tells why an edit was rejected.
+// Conflict describes why an edit was rejected.
 type Conflict struct {
 	Key ObjectKey `json:"key"`
-	// Base is the version that the edit was made against.
+	// Base is the version that the author edited.
 	Base uint64 `json:"base"`
 	// Current is the version that was in force.
 	Current uint64 `json:"current"`
-	// Change is the id of the change that made the current version.
+	// Change is the ID of the change that set the current version.
 	Change string `json:"change"`
-	// Message says what is wrong with the document, if not its base.
+	// Message is the issue of the document. It is empty if the base is outdated.
 	Message string `json:"message,omitempty"`
 }
 
-// Decision is the decision on one change. It is the same on every node.
+// Decision records whether a change was accepted. Every node makes the same
+// decision, because it depends only on the log.
 type Decision struct {
 	ChangeID  string      `json:"change-id"`
 	Author    string      `json:"author"`
--- a/wharf/wharfconfig/classify.go
+++ b/wharf/wharfconfig/classify.go
@@ -9,7 +9,8 @@
 	"ragwortwharf.dev/wharf/wharfselector"
 )
 
-// RequestAttributes is what classification knows of a request.
+// RequestAttributes holds the properties of a request that classification
+// uses. Caller may be empty.
 type RequestAttributes struct {
 	Service string
 	Method  string
@@ -17,7 +18,7 @@
 	Caller  string
 }
 
-// Policy is how a request is treated.
+// Policy is the result of classifying a request.
 type Policy struct {
 	Request    string
 	Class      Class
@@ -25,24 +26,25 @@
 	Timeout    time.Duration
 	MaxTimeout time.Duration
 	Attempts   int
-	// Targets is how many targets the request may be sent to, zero for no bound
-	// besides Attempts.
+	// Targets limits the number of targets that the request may be sent to;
+	// zero means that only Attempts limits it.
 	Targets int
-	// Objective is the time in which an answer has its full value, zero if none
-	// is known.
+	// Objective is the time within which a response has its full value; zero
+	// means that none is known.
 	Objective time.Duration
 	// ClassRule, IdempotentRule, TimeoutRule and AttemptsRule name the rule
-	// that decided each value; empty means the default.
+	// that set each value; empty means that the default applies.
 	ClassRule      string
 	IdempotentRule string
 	TimeoutRule    string
 	AttemptsRule   string
-	// Labels are those that the selectors were matched against.
+	// Labels holds the labels that the selectors were matched against.
 	Labels wharfselector.Labels
 }
 
 var emptyCompiled = compile(nil)
 
+// index returns the compiled form, which is empty for a nil snapshot.
 func (s *Snapshot) index() *compiled {
 	if s == nil || s.compiled == nil {
 		return emptyCompiled
@@ -56,8 +58,9 @@
 	return ok
 }
 
-// Class returns a class by its name. A name without a document gets a rank in
-// the middle, so that work of an unknown class neither rules nor starves.
+// Class returns a class by its name. A name without a document gets the middle
+// rank, so that requests of an unknown class neither displace all others nor
+// starve.
 func (s *Snapshot) Class(name string) Class {
 	for _, c := range s.index().classes {
 		if c.Name == name {
@@ -67,28 +70,34 @@
 	return Class{Name: name, Rank: defaultRank}
 }
 
-// Classes returns the configured classes, the most important first.
+// Classes returns the configured classes, most important first.
 func (s *Snapshot) Classes() []Class {
 	return s.index().classes
 }
 
-// ResendHorizon returns how long callers may resend a request with a key.
+// ResendHorizon returns how long callers may resend a request that has an
+// idempotency key.
 func (s *Snapshot) ResendHorizon() time.Duration {
 	return s.index().defaults.resendHorizon
 }
 
-// ClockSkew returns how far the clocks of callers and log may differ.
+// ClockSkew returns the largest difference allowed between the clocks of the
+// callers and of the log.
 func (s *Snapshot) ClockSkew() time.Duration {
 	return s.index().defaults.clockSkew
 }
 
-// HomeStaleness returns how long a home of keys goes on without confirmation
-// that it knows the end of the log.
+// HomeStaleness returns the maximum age of an owner's last confirmation that its
+// state reaches the end of the log. With an older confirmation the owner starts
+// no keyed requests.
 func (s *Snapshot) HomeStaleness() time.Duration {
 	return s.index().defaults.homeStaleness
 }
 
-// Classify decides how a request is treated.
+// Classify returns the policy of a request. Each value comes from the matching
+// rule with the highest precedence that sets the value; between rules of equal
+// precedence the first by name applies. Without such a rule the default applies.
+// The timeout never exceeds the maximum.
 func (s *Snapshot) Classify(r RequestAttributes) Policy {
 	c := s.index()
 	p := Policy{
@@ -104,12 +113,12 @@
 	rules := c.general
 	if index, ok := c.services[r.Service]; ok {
 		rules = index.rules
-		p.describe(index, r)
+		p.addLabels(index, r)
 	}
 	class := c.defaults.class
 	for _, rule := range rules {
 		if rule.selector.Matches(p.Labels) {
-			p.take(rule.doc, &class)
+			p.applyRule(rule.doc, &class)
 		}
 	}
 	p.Class = s.Class(class)
@@ -117,8 +126,9 @@
 	return p
 }
 
-// describe adds the labels of the service and of the request document.
-func (p *Policy) describe(index *serviceIndex, r RequestAttributes) {
+// addLabels adds the labels of the service and of the most specific request
+// document that matches.
+func (p *Policy) addLabels(index *serviceIndex, r RequestAttributes) {
 	for k, v := range index.labels {
 		p.Labels[k] = v
 	}
@@ -135,6 +145,8 @@
 	}
 }
 
+// matches reports whether the method and path fit the request document. A path
+// that ends in "/**" matches the prefix before it and all paths below.
 func (q request) matches(r RequestAttributes) bool {
 	if len(q.methods) > 0 && !slices.Contains(q.methods, r.Method) {
 		return false
@@ -146,8 +158,8 @@
 	return err == nil && matched
 }
 
-// take fills the values that no earlier rule has set.
-func (p *Policy) take(d *Document, class *string) {
+// applyRule sets the values that no earlier rule has set.
+func (p *Policy) applyRule(d *Document, class *string) {
 	if d.Class != "" && p.ClassRule == "" {
 		*class, p.ClassRule = d.Class, d.Name
 	}
@@ -162,9 +174,9 @@
 	}
 }
 
-// isSafeMethod reports whether RFC 9110 calls the method safe. PUT and DELETE
-// are idempotent by that text, but services are known to break it, so a rule
-// has to say so.
+// isSafeMethod reports whether RFC 9110 defines the method as safe. RFC 9110
+// also defines PUT and DELETE as idempotent, but not all services comply, so
+// these methods need a rule that declares them idempotent.
 func isSafeMethod(method string) bool {
 	switch method {
 	case "GET", "HEAD", "OPTIONS", "TRACE":
@@ -174,7 +186,8 @@
 	}
 }
 
-// TargetAttributes is what target rules can select by.
+// TargetAttributes holds the properties of a target that target rules select
+// by.
 type TargetAttributes struct {
 	Service       string
 	Address       string
@@ -184,27 +197,27 @@
 	Labels        map[string]string
 }
 
-// IsLeaving reports whether operators have told a target to leave, and by
-// which rule.
+// IsLeaving reports whether a target rule marks the target as leaving, and
+// returns the name of that rule.
 func (s *Snapshot) IsLeaving(t TargetAttributes) (string, bool) {
 	c := s.index()
 	if len(c.targetRules) == 0 {
 		return "", false
 	}
-	set := wharfselector.Labels{
+	labels := wharfselector.Labels{
 		labelService:     t.Service,
 		"node":           t.Node,
 		"failure-domain": t.FailureDomain,
 		"region":         t.Region,
 	}
 	for k, v := range t.Labels {
-		set[k] = v
+		labels[k] = v
 	}
 	for k, v := range c.targetLabels[t.Address] {
-		set[k] = v
+		labels[k] = v
 	}
 	for _, r := range c.targetRules {
-		if r.leaving && r.selector.Matches(set) {
+		if r.leaving && r.selector.Matches(labels) {
 			return r.name, true
 		}
 	}
--- a/wharf/wharfconfig/compile.go
+++ b/wharf/wharfconfig/compile.go
@@ -10,7 +10,7 @@
 	"ragwortwharf.dev/wharf/wharfselector"
 )
 
-// Values in force where no document says otherwise.
+// Default values, used where no document sets another.
 const (
 	DefaultClass         = "default"
 	DefaultTimeout       = 5 * time.Second
@@ -21,20 +21,22 @@
 	defaultRank          = MaxRank / 2
 )
 
-// labelService is the label that rules are indexed by.
+// labelService is the label by which rules are indexed.
 const labelService = "service"
 
-// compiled is the form of a snapshot that classification works on.
+// compiled is the index of a snapshot that classification uses.
 type compiled struct {
 	classes  []Class
 	services map[string]*serviceIndex
-	// general holds the rules that don't name their services.
+	// general holds the rules that aren't restricted to named services.
 	general      []rule
 	targetRules  []targetRule
 	targetLabels map[string]map[string]string
 	defaults     defaults
 }
 
+// serviceIndex holds the documents of one service. Requests are ordered with
+// the most specific first, rules with the highest precedence first.
 type serviceIndex struct {
 	labels   map[string]string
 	requests []request
@@ -69,11 +71,13 @@
 	homeStaleness time.Duration
 }
 
-// Class is a class of requests.
+// Class is a class of requests of the same importance.
 type Class struct {
 	Name string
 	// Rank orders classes; zero is the most important.
-	Rank    int
+	Rank int
+	// Reserve is the share of a target's limit that less important classes
+	// can't use, from 0 to maxReserve.
 	Reserve float64
 }
 
@@ -116,9 +120,11 @@
 	}
 }
 
+// addRule adds a rule to the services that its selector requires, or to the
+// general rules if it requires none.
 func (c *compiled) addRule(r rule) {
-	names, narrowed := r.selector.RequiredValues(labelService)
-	if !narrowed {
+	names, restricted := r.selector.RequiredValues(labelService)
+	if !restricted {
 		c.general = append(c.general, r)
 		return
 	}
@@ -128,6 +134,7 @@
 	}
 }
 
+// service returns the index of a service and creates it if needed.
 func (c *compiled) service(name string) *serviceIndex {
 	s, ok := c.services[name]
 	if !ok {
@@ -137,7 +144,7 @@
 	return s
 }
 
-// compareRules puts the higher precedence first, then the earlier name.
+// compareRules orders by descending precedence, then by name.
 func compareRules(a, b rule) int {
 	if n := cmp.Compare(b.doc.Precedence, a.doc.Precedence); n != 0 {
 		return n
@@ -145,7 +152,8 @@
 	return cmp.Compare(a.doc.Name, b.doc.Name)
 }
 
-// compareRequests puts the more specific pattern first.
+// compareRequests orders the more specific document first: by the number of
+// literal characters in the path, then by the number of methods, then by name.
 func compareRequests(a, b request) int {
 	if n := cmp.Compare(literalLength(b.path), literalLength(a.path)); n != 0 {
 		return n
@@ -189,8 +197,8 @@
 	return d
 }
 
-func override(into *time.Duration, d *Duration) {
+func override(value *time.Duration, d *Duration) {
 	if d != nil {
-		*into = time.Duration(*d)
+		*value = time.Duration(*d)
 	}
 }
--- a/wharf/wharfconfig/config_test.go
+++ b/wharf/wharfconfig/config_test.go
@@ -59,12 +59,12 @@
 
 func parseValid(t *testing.T, text string) []SourceDocument {
 	t.Helper()
-	docs, faults := Parse("sample.yaml", []byte(text))
-	if len(faults) == 0 {
-		faults = Validate(docs, nil)
+	docs, issues := Parse("sample.yaml", []byte(text))
+	if len(issues) == 0 {
+		issues = Validate(docs, nil)
 	}
-	if len(faults) > 0 {
-		t.Fatal(faults)
+	if len(issues) > 0 {
+		t.Fatal(issues)
 	}
 	return docs
 }
@@ -109,7 +109,9 @@
 	is.New(t).True(leaving && rule == "old-racks")
 }
 
-func TestFaultsAreReportedTogether(t *testing.T) {
+// TestIssuesAreReportedTogether guards against checks that stop at the first
+// issue or report the wrong line.
+func TestIssuesAreReportedTogether(t *testing.T) {
 	tests := []struct {
 		name string
 		text string
@@ -118,19 +120,19 @@
 		{"unknown field", "kind: service\nname: a\nport: 3\n", []string{"f:3: kind service has no field \"port\" [unknown-field]"}},
 		{"unknown kind", "kind: shape\nname: a\n", []string{"f:1: kind \"shape\" is unknown [unknown-kind]"}},
 		{"type", "kind: class\nname: a\nrank: high\n", []string{"f:3: cannot unmarshal !!str `high` into int [syntax]"}},
-		{"two faults", "kind: rule\nname: a\nselector: 'a b'\nclass: gone\n", []string{"[selector]", "f:4: rule/a: class \"gone\" is not configured [reference]"}},
-		{"ranks", "kind: class\nname: a\nrank: 1\n---\nkind: class\nname: b\nrank: 1\n", []string{"rank 1 too [contradiction]"}},
-		{"rules", "kind: rule\nname: a\nselector: x=1\nattempts: 1\n---\nkind: rule\nname: b\nselector: x=1\nattempts: 2\n", []string{"rule a at f:1 picks the same requests"}},
+		{"two issues", "kind: rule\nname: a\nselector: 'a b'\nclass: gone\n", []string{"[selector]", "f:4: rule/a: class \"gone\" is not configured [reference]"}},
+		{"ranks", "kind: class\nname: a\nrank: 1\n---\nkind: class\nname: b\nrank: 1\n", []string{"also has rank 1 [contradiction]"}},
+		{"rules", "kind: rule\nname: a\nselector: x=1\nattempts: 1\n---\nkind: rule\nname: b\nselector: x=1\nattempts: 2\n", []string{"rule a at f:1 selects the same requests"}},
 		{"range", "kind: rule\nname: a\nselector: x=1\nattempts: 0\ntimeout: 0s\n", []string{"timeout 0s is out of range", "attempts 0 is out of range"}},
 		{"no mapping", "- a\n", []string{"document is not a mapping"}},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
-			docs, faults := Parse("f", []byte(tc.text))
-			faults = append(faults, Validate(docs, nil)...)
+			docs, issues := Parse("f", []byte(tc.text))
+			issues = append(issues, Validate(docs, nil)...)
 			for _, want := range tc.want {
-				if !strings.Contains(faults.Error(), want) {
-					t.Errorf("%q is not in\n%s", want, faults.Error())
+				if !strings.Contains(issues.Error(), want) {
+					t.Errorf("%q is missing from\n%s", want, issues.Error())
 				}
 			}
 		})
@@ -142,7 +144,10 @@
 	return Edit{Key: d.Key(), Base: base, Document: d}
 }
 
-func TestFold(t *testing.T) {
+// TestApplyChanges guards against lost updates: a change that is based on an
+// outdated version, or that holds an invalid document, must be rejected as a
+// whole and leave the objects as they were.
+func TestApplyChanges(t *testing.T) {
 	first := LoggedChange{Change{ID: "a", Author: "ann", Edits: []Edit{edit("x", 0, 1)}}, 1, time.Time{}}
 	tests := []struct {
 		name     string
@@ -159,20 +164,22 @@
 		t.Run(tc.name, func(t *testing.T) {
 			is := is.New(t)
 			s := (*Snapshot)(nil).WithChanges([]LoggedChange{first, tc.change})
-			v, ok := s.Decision("b")
+			decision, ok := s.Decision("b")
 			is.True(ok)
-			is.Equal(v.Accepted, tc.accepted)
+			is.Equal(decision.Accepted, tc.accepted)
 			is.Equal(s.Class("x").Rank, tc.rank)
-			if !tc.accepted && v.Conflicts[0].Message == "" {
-				is.Equal(v.Conflicts[0].Change, "a") // the loser learns who won
+			if !tc.accepted && decision.Conflicts[0].Message == "" {
+				is.Equal(decision.Conflicts[0].Change, "a") // the conflict names the change that set the current version
 			}
 		})
 	}
 }
 
-// TestFoldIsMonotonic feeds random windows of a log, repeated and out of
-// order, and compares with the fold of the whole prefix.
-func TestFoldIsMonotonic(t *testing.T) {
+// TestApplyingChangesIsMonotonic applies random ranges of a log, which overlap
+// and arrive out of order, as nodes get them from the log and from gossip, with
+// restarts in between. The offset must never decrease, and the snapshot must
+// equal one that applied the whole log up to its offset in one call.
+func TestApplyingChangesIsMonotonic(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var log []LoggedChange
 		n := rapid.IntRange(1, 20).Draw(t, "changes")
@@ -191,11 +198,11 @@
 				s = Load(s.Save())
 			}
 			if s.Offset() < before {
-				t.Fatalf("offset went from %d to %d", before, s.Offset())
+				t.Fatalf("offset decreased from %d to %d", before, s.Offset())
 			}
-			whole := (*Snapshot)(nil).WithChanges(log[:s.Offset()])
-			if s.Class("x") != whole.Class("x") || len(s.Decisions()) != len(whole.Decisions()) {
-				t.Fatalf("at %d: %v and %v", s.Offset(), s.Class("x"), whole.Class("x"))
+			want := (*Snapshot)(nil).WithChanges(log[:s.Offset()])
+			if s.Class("x") != want.Class("x") || len(s.Decisions()) != len(want.Decisions()) {
+				t.Fatalf("at offset %d: got %v, want %v", s.Offset(), s.Class("x"), want.Class("x"))
 			}
 		}
 	})
--- a/wharf/wharfconfig/doc.go
+++ b/wharf/wharfconfig/doc.go
@@ -1,9 +1,11 @@
-// Package wharfconfig decides what configuration is in force.
+// Package wharfconfig builds the configuration in force from the changes in
+// the log and classifies requests and targets with it.
 //
-// It goes in four phases, each of which uses only the one before: documents
-// are read from YAML (document.go, parse.go), checked (validate.go), folded
-// from changes into an immutable Snapshot (change.go, snapshot.go), and used
-// to classify requests and targets (classify.go).
+// It works in four phases, each of which uses only the one before: it reads
+// documents from YAML (document.go, parse.go), validates them (validate.go),
+// applies logged changes to an immutable Snapshot (change.go, snapshot.go), and
+// classifies requests and targets (classify.go, compile.go).
 //
-// It is pure: the node, wharfctl and the tests hand it records and get values.
+// The package does no I/O and reads no clock: the node, wharfctl and the tests
+// pass the records in.
 package wharfconfig
--- a/wharf/wharfconfig/document.go
+++ b/wharf/wharfconfig/document.go
@@ -6,7 +6,7 @@
 	"github.com/samber/oops"
 )
 
-// Kind names a kind of document.
+// Kind is the kind of a document.
 type Kind string
 
 // Kinds of documents.
@@ -20,18 +20,18 @@
 	KindDefaults    Kind = "defaults"
 )
 
-// DefaultsName is the name that the one document of kind defaults must have.
+// DefaultsName is the required name of the single document of kind defaults.
 const DefaultsName = "defaults"
 
-// Duration is a time span in the form "1.5s".
+// Duration is a time.Duration that is written as text such as "1.5s".
 type Duration time.Duration
 
-// MarshalText writes the form "1.5s".
+// MarshalText formats the duration like time.Duration.String.
 func (d Duration) MarshalText() ([]byte, error) {
 	return []byte(time.Duration(d).String()), nil
 }
 
-// UnmarshalText reads the form "1.5s".
+// UnmarshalText parses the duration with time.ParseDuration.
 func (d *Duration) UnmarshalText(text []byte) error {
 	v, err := time.ParseDuration(string(text))
 	if err != nil {
@@ -41,8 +41,8 @@
 	return nil
 }
 
-// Document is one object as operators write it. Which fields are allowed
-// depends on the kind; see fieldsOfKind.
+// Document is one object in the form that operators write. The kind determines
+// which fields are allowed; see fieldsOfKind.
 type Document struct {
 	Kind Kind   `json:"kind" yaml:"kind"`
 	Name string `json:"name" yaml:"name"`
@@ -50,7 +50,7 @@
 	// Rank orders classes; zero is the most important.
 	Rank int `json:"rank,omitempty" yaml:"rank"`
 	// Reserve is the share of a target's limit that less important classes
-	// can't use.
+	// can't use, from 0 to maxReserve.
 	Reserve float64 `json:"reserve,omitempty" yaml:"reserve"`
 
 	Labels   map[string]string `json:"labels,omitempty" yaml:"labels"`
@@ -73,23 +73,23 @@
 	HomeStaleness *Duration `json:"home-staleness,omitempty" yaml:"home-staleness"`
 }
 
-// Key returns the identity of the object.
+// Key returns the key of the object.
 func (d *Document) Key() ObjectKey {
 	return ObjectKey{Kind: d.Kind, Name: d.Name}
 }
 
-// ObjectKey identifies an object over its versions.
+// ObjectKey identifies an object across its versions.
 type ObjectKey struct {
 	Kind Kind   `json:"kind"`
 	Name string `json:"name"`
 }
 
-// String returns the form "kind/name".
+// String returns the key as "kind/name".
 func (k ObjectKey) String() string {
 	return string(k.Kind) + "/" + k.Name
 }
 
-// kindFields lists the fields of one kind.
+// kindFields lists the fields of one kind, besides kind and name.
 type kindFields struct {
 	kind     Kind
 	required []string
--- a/wharf/wharfconfig/issue.go
+++ b/wharf/wharfconfig/issue.go
@@ -5,10 +5,10 @@
 	"strings"
 )
 
-// Code names a kind of fault.
+// Code is the code of an issue, for operators and scripts.
 type Code string
 
-// Codes of faults in documents.
+// Codes of the issues that documents can have.
 const (
 	CodeSyntax        Code = "syntax"
 	CodeUnknownKind   Code = "unknown-kind"
@@ -22,7 +22,8 @@
 	CodeReference     Code = "reference"
 )
 
-// Issue is one thing that is wrong with a document, and how to mend it.
+// Issue is one error in a document. Remedy is the advice to the operator on how
+// to correct it and may be empty.
 type Issue struct {
 	Code    Code
 	File    string
@@ -31,31 +32,31 @@
 	Remedy  string
 }
 
-// Error returns the fault on one line.
-func (f Issue) Error() string {
-	text := fmt.Sprintf("%s:%d: %s [%s]", f.File, f.Line, f.Message, f.Code)
-	if f.Remedy != "" {
-		text += "; " + f.Remedy
+// Error returns the issue on one line.
+func (i Issue) Error() string {
+	text := fmt.Sprintf("%s:%d: %s [%s]", i.File, i.Line, i.Message, i.Code)
+	if i.Remedy != "" {
+		text += "; " + i.Remedy
 	}
 	return text
 }
 
-// Issues is the list of all faults that one reading found.
+// Issues lists all issues that one run of Parse or Validate found.
 type Issues []Issue
 
-// Error returns the faults, one a line.
-func (f Issues) Error() string {
-	lines := make([]string, len(f))
-	for i, fault := range f {
-		lines[i] = fault.Error()
+// Error returns the issues, one on each line.
+func (list Issues) Error() string {
+	lines := make([]string, len(list))
+	for i, issue := range list {
+		lines[i] = issue.Error()
 	}
 	return strings.Join(lines, "\n")
 }
 
 // Err returns the list as an error, or nil if it is empty.
-func (f Issues) Err() error {
-	if len(f) == 0 {
+func (list Issues) Err() error {
+	if len(list) == 0 {
 		return nil
 	}
-	return f
+	return list
 }
--- a/wharf/wharfconfig/parse.go
+++ b/wharf/wharfconfig/parse.go
@@ -13,11 +13,12 @@
 	"gopkg.in/yaml.v3"
 )
 
-// SourceDocument is a document with the place that it was read from.
+// SourceDocument is a document with its position in a file.
 type SourceDocument struct {
 	Document
 	File string
-	// lines holds the line of each field; the empty name is the document's.
+	// lines holds the first line of the document under the empty name, then the
+	// line of each field.
 	lines []fieldLine
 }
 
@@ -26,37 +27,39 @@
 	line  int
 }
 
-// Line returns the line of a field, or that of the document.
-func (l *SourceDocument) Line(field string) int {
-	first := 1
-	for _, fl := range l.lines {
+// Line returns the line of a field, or the first line of the document if it
+// doesn't have the field.
+func (d *SourceDocument) Line(field string) int {
+	documentLine := 1
+	for _, fl := range d.lines {
 		if fl.field == field {
 			return fl.line
 		}
 		if fl.field == "" {
-			first = fl.line
+			documentLine = fl.line
 		}
 	}
-	return first
+	return documentLine
 }
 
-// Parse reads all documents of a YAML file and reports every fault of their
-// form at once. Faults of meaning are found by Validate.
+// Parse reads all documents of a YAML file. It returns the documents that are
+// well formed, and every syntax and field issue of the others. Validate checks
+// the values.
 func Parse(file string, data []byte) ([]SourceDocument, Issues) {
 	var docs []SourceDocument
-	var faults Issues
+	var issues Issues
 	decoder := yaml.NewDecoder(bytes.NewReader(data))
 	for {
 		var node yaml.Node
 		err := decoder.Decode(&node)
 		if errors.Is(err, io.EOF) {
-			return docs, faults
+			return docs, issues
 		}
 		if err != nil {
-			return docs, append(faults, yamlFaults(file, err)...)
+			return docs, append(issues, yamlIssues(file, err)...)
 		}
 		doc, found := parseDocument(file, &node)
-		faults = append(faults, found...)
+		issues = append(issues, found...)
 		if len(found) == 0 {
 			docs = append(docs, doc)
 		}
@@ -72,14 +75,15 @@
 	for i := 0; i+1 < len(mapping.Content); i += 2 {
 		doc.lines = append(doc.lines, fieldLine{mapping.Content[i].Value, mapping.Content[i].Line})
 	}
-	var faults Issues
+	var issues Issues
 	if err := mapping.Decode(&doc.Document); err != nil {
-		faults = append(faults, yamlFaults(file, err)...)
+		issues = append(issues, yamlIssues(file, err)...)
 	}
-	return doc, append(faults, checkFields(&doc)...)
+	return doc, append(issues, checkFields(&doc)...)
 }
 
-// checkFields refuses fields that the kind doesn't have and finds missing ones.
+// checkFields reports fields that the kind doesn't have and required fields
+// that are missing.
 func checkFields(doc *SourceDocument) Issues {
 	fields, ok := fieldsOf(doc.Kind)
 	if !ok {
@@ -89,13 +93,13 @@
 			"use one of " + strings.Join(kindNames(), ", "),
 		}}
 	}
-	var faults Issues
+	var issues Issues
 	allowed := slices.Concat([]string{"kind", "name"}, fields.required, fields.optional)
 	for _, fl := range doc.lines[1:] {
 		if slices.Contains(allowed, fl.field) {
 			continue
 		}
-		faults = append(faults, Issue{
+		issues = append(issues, Issue{
 			CodeUnknownField, doc.File, fl.line,
 			fmt.Sprintf("kind %s has no field %q", doc.Kind, fl.field),
 			"its fields are " + strings.Join(allowed, ", "),
@@ -105,36 +109,38 @@
 		if doc.has(name) {
 			continue
 		}
-		faults = append(faults, Issue{
+		issues = append(issues, Issue{
 			CodeMissingField, doc.File, doc.Line(""),
 			fmt.Sprintf("kind %s needs the field %q", doc.Kind, name),
-			"add it",
+			"add the field",
 		})
 	}
-	return faults
+	return issues
 }
 
-func (l *SourceDocument) has(field string) bool {
-	return slices.ContainsFunc(l.lines, func(fl fieldLine) bool { return fl.field == field })
+func (d *SourceDocument) has(field string) bool {
+	return slices.ContainsFunc(d.lines, func(fl fieldLine) bool { return fl.field == field })
 }
 
+// yamlLine matches the line number and the message in an error of the YAML
+// library.
 var yamlLine = regexp.MustCompile(`line (\d+): (.*)`)
 
-// yamlFaults turns the errors of the YAML library into faults with lines.
-func yamlFaults(file string, err error) Issues {
+// yamlIssues converts an error of the YAML library into issues with lines.
+func yamlIssues(file string, err error) Issues {
 	messages := []string{err.Error()}
 	var typeError *yaml.TypeError
 	if errors.As(err, &typeError) {
 		messages = typeError.Errors
 	}
-	faults := make(Issues, 0, len(messages))
+	issues := make(Issues, 0, len(messages))
 	for _, message := range messages {
-		fault := Issue{Code: CodeSyntax, File: file, Line: 1, Message: message, Remedy: "correct the YAML"}
+		issue := Issue{Code: CodeSyntax, File: file, Line: 1, Message: message, Remedy: "correct the YAML"}
 		if m := yamlLine.FindStringSubmatch(message); m != nil {
-			fault.Line, _ = strconv.Atoi(m[1])
-			fault.Message = m[2]
+			issue.Line, _ = strconv.Atoi(m[1])
+			issue.Message = m[2]
 		}
-		faults = append(faults, fault)
+		issues = append(issues, issue)
 	}
-	return faults
+	return issues
 }
--- a/wharf/wharfconfig/snapshot.go
+++ b/wharf/wharfconfig/snapshot.go
@@ -9,21 +9,24 @@
 	"ragwortwharf.dev/wharf/wharfselector"
 )
 
-// MaxDecisions is how many verdicts a snapshot remembers. A repeated append
-// is recognised for as long, and history reaches back as far.
+// MaxDecisions is the number of decisions that a snapshot keeps. A repeated
+// append of a change is detected, and the history shows the change, only while
+// the snapshot keeps its decision.
 const MaxDecisions = 1024
 
-// Object is a document with its version.
+// Object is a document with its version, which is the offset of the change that
+// set it.
 type Object struct {
 	Version  uint64    `json:"version"`
 	ChangeID string    `json:"change-id"`
 	Document *Document `json:"document"`
-	// selector is that of a rule, parsed once for all snapshots.
+	// selector is the parsed selector of a rule. It is parsed once and shared by
+	// all snapshots.
 	selector wharfselector.Selector
 }
 
 // parsed returns the object with its selector parsed. A selector that can't be
-// read matches nothing; such documents are refused before they get here.
+// parsed matches nothing; editIssue rejects such documents before this point.
 func (o Object) parsed() Object {
 	if o.Document.Selector != "" {
 		o.selector, _ = wharfselector.Parse(o.Document.Selector)
@@ -31,17 +34,20 @@
 	return o
 }
 
-// Snapshot is the configuration at one offset of the log. It never changes;
-// WithChanges returns a new one. A nil Snapshot is empty.
+// Snapshot is the configuration at one offset of the log. It is immutable and
+// safe for concurrent use; WithChanges returns a new snapshot. A nil Snapshot is
+// empty.
 type Snapshot struct {
-	offset   uint64
-	objects  map[ObjectKey]Object
-	verdicts []Decision
-	known    map[string]struct{}
-	compiled *compiled
+	offset    uint64
+	objects   map[ObjectKey]Object
+	decisions []Decision
+	// changeIDs holds the change IDs of decisions.
+	changeIDs map[string]struct{}
+	compiled  *compiled
 }
 
-// Offset returns the offset of the last change that was folded.
+// Offset returns the offset of the last change that was applied, accepted or
+// not.
 func (s *Snapshot) Offset() uint64 {
 	if s == nil {
 		return 0
@@ -49,7 +55,7 @@
 	return s.offset
 }
 
-// Object returns an object of the snapshot.
+// Object returns an object, and false if it doesn't exist.
 func (s *Snapshot) Object(key ObjectKey) (Object, bool) {
 	if s == nil {
 		return Object{}, false
@@ -58,7 +64,7 @@
 	return o, ok
 }
 
-// Objects returns all objects in the order of their keys.
+// Objects returns all objects, ordered by key.
 func (s *Snapshot) Objects() []Object {
 	if s == nil {
 		return nil
@@ -70,52 +76,55 @@
 	return objects
 }
 
-// Decisions returns the latest decisions, oldest first.
+// Decisions returns the latest decisions, oldest first, at most MaxDecisions.
+// Callers must not modify the slice.
 func (s *Snapshot) Decisions() []Decision {
 	if s == nil {
 		return nil
 	}
-	return s.verdicts
+	return s.decisions
 }
 
-// Decision returns the decision on a change.
+// Decision returns the decision on a change, and false if the snapshot doesn't
+// have it.
 func (s *Snapshot) Decision(changeID string) (Decision, bool) {
-	for _, v := range s.Decisions() {
-		if v.ChangeID == changeID {
-			return v, true
+	for _, d := range s.Decisions() {
+		if d.ChangeID == changeID {
+			return d, true
 		}
 	}
 	return Decision{}, false
 }
 
-// LoggedChange is a change with its place in the log.
+// LoggedChange is a change with its log offset and the time of the log service.
 type LoggedChange struct {
 	Change Change
 	Offset uint64
 	Time   time.Time
 }
 
-// WithChanges folds changes in the order of the log. Changes at or below the
-// offset of the snapshot are skipped, so it never goes back.
+// WithChanges applies changes, which must be in log order, and returns the new
+// snapshot. It skips changes at or below the offset of the snapshot and
+// repeated appends of a change, so that the offset never decreases.
 func (s *Snapshot) WithChanges(changes []LoggedChange) *Snapshot {
 	next := s.clone()
-	touched := false
-	for _, p := range changes {
-		if p.Offset <= next.offset {
+	modified := false
+	for _, logged := range changes {
+		if logged.Offset <= next.offset {
 			continue
 		}
-		next.offset = p.Offset
-		if _, seen := next.known[p.Change.ID]; seen {
+		next.offset = logged.Offset
+		if _, repeated := next.changeIDs[logged.Change.ID]; repeated {
 			continue
 		}
-		verdict := next.decide(p)
-		next.remember(verdict)
-		if verdict.Accepted {
-			next.apply(p)
-			touched = true
+		decision := next.decide(logged)
+		next.record(decision)
+		if decision.Accepted {
+			next.apply(logged)
+			modified = true
 		}
 	}
-	if touched || next.compiled == nil {
+	if modified || next.compiled == nil {
 		next.compiled = compile(next.objects)
 	}
 	return next
@@ -123,45 +132,47 @@
 
 func (s *Snapshot) clone() *Snapshot {
 	if s == nil {
-		return &Snapshot{objects: map[ObjectKey]Object{}, known: map[string]struct{}{}}
+		return &Snapshot{objects: map[ObjectKey]Object{}, changeIDs: map[string]struct{}{}}
 	}
 	return &Snapshot{
-		offset:   s.offset,
-		objects:  maps.Clone(s.objects),
-		verdicts: slices.Clone(s.verdicts),
-		known:    maps.Clone(s.known),
-		compiled: s.compiled,
-	}
-}
-
-// decide compares each edit with the version in force.
-func (s *Snapshot) decide(p LoggedChange) Decision {
-	v := Decision{
-		ChangeID: p.Change.ID,
-		Author:   p.Change.Author,
-		Note:     p.Change.Note,
-		Offset:   p.Offset,
-		Time:     p.Time,
-	}
-	for _, e := range p.Change.Edits {
-		v.Keys = append(v.Keys, e.Key)
+		offset:    s.offset,
+		objects:   maps.Clone(s.objects),
+		decisions: slices.Clone(s.decisions),
+		changeIDs: maps.Clone(s.changeIDs),
+		compiled:  s.compiled,
+	}
+}
+
+// decide accepts a change if every edit is based on the version in force and
+// every document is valid (optimistic concurrency control).
+func (s *Snapshot) decide(logged LoggedChange) Decision {
+	d := Decision{
+		ChangeID: logged.Change.ID,
+		Author:   logged.Change.Author,
+		Note:     logged.Change.Note,
+		Offset:   logged.Offset,
+		Time:     logged.Time,
+	}
+	for _, e := range logged.Change.Edits {
+		d.Keys = append(d.Keys, e.Key)
 		current := s.objects[e.Key]
 		if current.Version != e.Base {
-			v.Conflicts = append(v.Conflicts, Conflict{
+			d.Conflicts = append(d.Conflicts, Conflict{
 				Key: e.Key, Base: e.Base, Current: current.Version, Change: current.ChangeID,
 			})
 			continue
 		}
 		if message := editIssue(e); message != "" {
-			v.Conflicts = append(v.Conflicts, Conflict{Key: e.Key, Base: e.Base, Current: current.Version, Message: message})
+			d.Conflicts = append(d.Conflicts, Conflict{Key: e.Key, Base: e.Base, Current: current.Version, Message: message})
 		}
 	}
-	v.Accepted = len(v.Conflicts) == 0
-	return v
+	d.Accepted = len(d.Conflicts) == 0
+	return d
 }
 
-// editIssue refuses a document that wharfctl would not have published. Only
-// faults of the document itself count: references may change in between.
+// editIssue returns the first issue of a document that wharfctl would not have
+// published, or "" if there is none. Only issues of the document itself count:
+// the documents that it refers to may have changed since wharfctl checked it.
 func editIssue(e Edit) string {
 	if e.Deletes() {
 		return ""
@@ -174,54 +185,55 @@
 	}
 	v := validator{}
 	v.checkDocument(&SourceDocument{Document: *e.Document})
-	for _, f := range v.faults {
-		if f.Code != CodeReference {
-			return f.Message
+	for _, i := range v.issues {
+		if i.Code != CodeReference {
+			return i.Message
 		}
 	}
 	return ""
 }
 
-func (s *Snapshot) apply(p LoggedChange) {
-	for _, e := range p.Change.Edits {
+func (s *Snapshot) apply(logged LoggedChange) {
+	for _, e := range logged.Change.Edits {
 		if e.Deletes() {
 			delete(s.objects, e.Key)
 			continue
 		}
-		s.objects[e.Key] = Object{Version: p.Offset, ChangeID: p.Change.ID, Document: e.Document}.parsed()
+		s.objects[e.Key] = Object{Version: logged.Offset, ChangeID: logged.Change.ID, Document: e.Document}.parsed()
 	}
 }
 
-func (s *Snapshot) remember(v Decision) {
-	s.verdicts = append(s.verdicts, v)
-	s.known[v.ChangeID] = struct{}{}
-	for len(s.verdicts) > MaxDecisions {
-		delete(s.known, s.verdicts[0].ChangeID)
-		s.verdicts = s.verdicts[1:]
+// record adds a decision and drops the oldest ones beyond MaxDecisions.
+func (s *Snapshot) record(d Decision) {
+	s.decisions = append(s.decisions, d)
+	s.changeIDs[d.ChangeID] = struct{}{}
+	for len(s.decisions) > MaxDecisions {
+		delete(s.changeIDs, s.decisions[0].ChangeID)
+		s.decisions = s.decisions[1:]
 	}
 }
 
-// Saved is the form of a snapshot that is stored and sent.
+// Saved is the serialized form of a snapshot, for storage and transfer.
 type Saved struct {
 	Offset    uint64     `json:"offset"`
 	Objects   []Object   `json:"objects"`
 	Decisions []Decision `json:"verdicts"`
 }
 
-// Save returns the stored form.
+// Save returns the serialized form.
 func (s *Snapshot) Save() Saved {
 	return Saved{Offset: s.Offset(), Objects: s.Objects(), Decisions: s.Decisions()}
 }
 
-// Load rebuilds a snapshot from its stored form.
+// Load rebuilds a snapshot from its serialized form.
 func Load(saved Saved) *Snapshot {
 	s := (*Snapshot)(nil).clone()
 	s.offset = saved.Offset
 	for _, o := range saved.Objects {
 		s.objects[o.Document.Key()] = o.parsed()
 	}
-	for _, v := range saved.Decisions {
-		s.remember(v)
+	for _, d := range saved.Decisions {
+		s.record(d)
 	}
 	s.compiled = compile(s.objects)
 	return s
--- a/wharf/wharfconfig/validate.go
+++ b/wharf/wharfconfig/validate.go
@@ -12,7 +12,8 @@
 	"ragwortwharf.dev/wharf/wharfselector"
 )
 
-// Limits of the values that documents may hold.
+// Limits of the values in documents. maxReserve is a share of a target's
+// limit, maxNameLength is in bytes.
 const (
 	MaxRank       = 15
 	maxReserve    = 0.9
@@ -29,8 +30,9 @@
 	methodName = regexp.MustCompile(`^[A-Z]+$`)
 )
 
-// Validate checks the meaning of documents against each other and against the
-// snapshot that they are meant for. It reports every fault at once.
+// Validate checks the values of documents, and their references and conflicts
+// among each other and with the snapshot that they would change. It returns all
+// issues at once.
 func Validate(docs []SourceDocument, current *Snapshot) Issues {
 	v := validator{docs: docs, current: current}
 	v.checkDuplicates()
@@ -39,17 +41,17 @@
 	}
 	v.checkRanks()
 	v.checkContradictions()
-	return v.faults
+	return v.issues
 }
 
 type validator struct {
 	docs    []SourceDocument
 	current *Snapshot
-	faults  Issues
+	issues  Issues
 }
 
 func (v *validator) report(doc *SourceDocument, field string, code Code, remedy, format string, args ...any) {
-	v.faults = append(v.faults, Issue{
+	v.issues = append(v.issues, Issue{
 		Code:    code,
 		File:    doc.File,
 		Line:    doc.Line(field),
@@ -65,7 +67,7 @@
 				continue
 			}
 			v.report(&v.docs[i], "name", CodeDuplicate, "keep one of the two",
-				"stands already at %s:%d", v.docs[j].File, v.docs[j].Line(""))
+				"is already defined at %s:%d", v.docs[j].File, v.docs[j].Line(""))
 			break
 		}
 	}
@@ -116,7 +118,7 @@
 
 func (v *validator) checkRequest(doc *SourceDocument) {
 	if !strings.HasPrefix(doc.Path, "/") {
-		v.report(doc, "path", CodeRange, `begin it with "/"`, "path %q is not absolute", doc.Path)
+		v.report(doc, "path", CodeRange, `start the path with "/"`, "path %q is not absolute", doc.Path)
 	}
 	if _, err := path.Match(doc.Path, "/"); err != nil {
 		v.report(doc, "path", CodeRange, `use "*" for one segment and a last "/**" for all below`, "path %q is no pattern", doc.Path)
@@ -137,7 +139,7 @@
 	}
 }
 
-// checkPolicy checks the fields that rules and defaults have in common.
+// checkPolicy checks the fields that rules and defaults share.
 func (v *validator) checkPolicy(doc *SourceDocument) {
 	v.checkRange(doc, "precedence", float64(doc.Precedence), -maxPrecedence, maxPrecedence)
 	v.checkDuration(doc, "timeout", doc.Timeout, time.Millisecond, maxTimeout)
@@ -147,8 +149,8 @@
 	if doc.Class != "" && !v.exists(ObjectKey{KindClass, doc.Class}) {
 		v.report(doc, "class", CodeReference, "add a document of kind class", "class %q is not configured", doc.Class)
 	}
-	sets := doc.Class != "" || doc.Idempotent != nil || doc.Timeout != nil || doc.Attempts != nil
-	if doc.Kind == KindRule && !sets {
+	setsValue := doc.Class != "" || doc.Idempotent != nil || doc.Timeout != nil || doc.Attempts != nil
+	if doc.Kind == KindRule && !setsValue {
 		v.report(doc, "", CodeMissingField, "set class, idempotent, timeout or attempts", "the rule sets nothing")
 	}
 }
@@ -173,6 +175,7 @@
 	}
 }
 
+// exists reports whether the documents or the current snapshot have an object.
 func (v *validator) exists(key ObjectKey) bool {
 	if slices.ContainsFunc(v.docs, func(d SourceDocument) bool { return d.Key() == key }) {
 		return true
@@ -188,11 +191,13 @@
 			continue
 		}
 		if other, ok := v.classOfRank(doc.Rank, doc.Name); ok {
-			v.report(doc, "rank", CodeContradiction, "give each class a rank of its own", "class %s has rank %d too", other, doc.Rank)
+			v.report(doc, "rank", CodeContradiction, "give each class its own rank", "class %s also has rank %d", other, doc.Rank)
 		}
 	}
 }
 
+// classOfRank returns another class with a rank. A class of the snapshot that
+// one of the documents replaces doesn't count.
 func (v *validator) classOfRank(rank int, except string) (string, bool) {
 	for _, d := range v.docs {
 		if d.Kind == KindClass && d.Rank == rank && d.Name != except {
@@ -201,7 +206,7 @@
 	}
 	for _, o := range v.current.Objects() {
 		d := o.Document
-		replaced := slices.ContainsFunc(v.docs, func(l SourceDocument) bool { return l.Key() == d.Key() })
+		replaced := slices.ContainsFunc(v.docs, func(replacement SourceDocument) bool { return replacement.Key() == d.Key() })
 		if d.Kind == KindClass && d.Rank == rank && d.Name != except && !replaced {
 			return d.Name, true
 		}
@@ -209,7 +214,8 @@
 	return "", false
 }
 
-// checkContradictions finds pairs of rules that no precedence tells apart.
+// checkContradictions reports pairs of rules with the same selector and
+// precedence that set different values.
 func (v *validator) checkContradictions() {
 	for i := range v.docs {
 		for j := range v.docs[:i] {
@@ -219,7 +225,7 @@
 			}
 			if a.Precedence == b.Precedence && sameSelector(a.Selector, b.Selector) && contradict(&a.Document, &b.Document) {
 				v.report(a, "selector", CodeContradiction, "give one of the two a higher precedence",
-					"rule %s at %s:%d picks the same requests and sets another value", b.Name, b.File, b.Line(""))
+					"rule %s at %s:%d selects the same requests and sets a different value", b.Name, b.File, b.Line(""))
 			}
 		}
 	}
@@ -234,11 +240,13 @@
 	return err == nil && x.String() == y.String()
 }
 
+// contradict reports whether both rules set the same field to different values.
 func contradict(a, b *Document) bool {
 	return a.Class != "" && b.Class != "" && a.Class != b.Class ||
 		differ(a.Idempotent, b.Idempotent) || differ(a.Timeout, b.Timeout) || differ(a.Attempts, b.Attempts)
 }
 
+// differ reports whether both values are set and differ.
 func differ[T comparable](a, b *T) bool {
 	return a != nil && b != nil && *a != *b
 }
