--- a/wharf/wharfstate/capacity_test.go
+++ b/wharf/wharfstate/capacity_test.go
@@ -11,7 +11,8 @@
 	"ragwortwharf.dev/wharf/wharfstream"
 )
 
-// capacitySizes are the numbers of rules that slopes are measured at.
+// capacitySizes lists the numbers of rules that the benchmarks run with, to
+// show how cost grows with them.
 var capacitySizes = []int{500, 2_000, 8_000}
 
 // ruleChange returns a record that adds a rule for a service.
@@ -32,7 +33,7 @@
 	return (*State)(nil).WithRecords(records)
 }
 
-// BenchmarkChange folds one change into a state with many rules.
+// BenchmarkChange applies one change to a state with many rules.
 func BenchmarkChange(b *testing.B) {
 	for _, n := range capacitySizes {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -46,7 +47,8 @@
 	}
 }
 
-// BenchmarkSnapshot stores and loads a state with many rules and owners.
+// BenchmarkSnapshot loads the serialized form of a state with many rules and
+// reports its size.
 func BenchmarkSnapshot(b *testing.B) {
 	for _, n := range capacitySizes {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -65,19 +67,19 @@
 	}
 }
 
-// BenchmarkMemory reports the memory of a state with many rules and owners.
+// BenchmarkMemory reports the heap memory of a state with many rules and owners.
 func BenchmarkMemory(b *testing.B) {
 	for _, n := range []int{1_000, 4_000, 17_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			before := heap()
 			s := stateWithRules(b, n/2)
-			var homes []wharfstream.Record
+			var announcements []wharfstream.Record
 			for i := range n {
 				r := wharfidempotency.OwnershipRecord{Kind: wharfidempotency.Announce, Node: fmt.Sprintf("domain-%d/10.0.0.%d:7001", i%6, i), Incarnation: 1, Address: "10.0.0.1:7001", Services: []string{fmt.Sprint("service-", i%1900)}}
-				homes = append(homes, wharfstream.Record{Offset: s.Offset() + uint64(i+1), Data: encode(b, Envelope{Ownership: &r})})
+				announcements = append(announcements, wharfstream.Record{Offset: s.Offset() + uint64(i+1), Data: encode(b, Envelope{Ownership: &r})})
 			}
-			s = s.WithRecords(homes)
-			after := heap() - recordBytes(homes)
+			s = s.WithRecords(announcements)
+			after := heap() - recordBytes(announcements)
 			for b.Loop() {
 				runtime.KeepAlive(s)
 			}
@@ -86,8 +88,7 @@
 	}
 }
 
-// recordBytes is the memory of the records themselves, which a node doesn't
-// keep.
+// recordBytes returns the size of the records, which a node doesn't keep.
 func recordBytes(records []wharfstream.Record) uint64 {
 	n := uint64(0)
 	for _, r := range records {
@@ -97,6 +98,7 @@
 	return n
 }
 
+// heap returns the bytes of live heap objects after a garbage collection.
 func heap() uint64 {
 	runtime.GC()
 	var m runtime.MemStats
--- a/wharf/wharfstate/doc.go
+++ b/wharf/wharfstate/doc.go
@@ -1,7 +1,8 @@
-// Package wharfstate folds the platform's log into the one state that every
-// node agrees on: the configuration, the routes and the ownership of keys, at an offset.
+// Package wharfstate builds the state that all nodes share from the platform's
+// log: the configuration, the routes and the ownership of keys at one offset.
 //
-// It sits above wharfconfig, wharfroute and wharfidempotency and knows the form of a record in
-// the log (envelope.go). It is pure; the node's log reader and its exchange
-// with neighbours feed it records, in any windows and repeats.
+// It builds on wharfconfig, wharfroute and wharfidempotency, and defines the
+// form of a record in the log (envelope.go). It does no I/O and reads no clock:
+// the node's log reader and its gossip exchanges pass the records in. They may
+// pass any ranges of the log, also repeatedly.
 package wharfstate
--- a/wharf/wharfstate/envelope.go
+++ b/wharf/wharfstate/envelope.go
@@ -15,10 +15,11 @@
 	"ragwortwharf.dev/wharf/wharfstream"
 )
 
-// Stream is the stream of the platform's log that all records stand in.
+// Stream is the stream of the platform's log that holds all records of the
+// state.
 const Stream = "wharf-state"
 
-// AuditStream is the stream that nodes write their own acts to.
+// AuditStream is the stream to which nodes write the actions that they take.
 const AuditStream = "wharf-audit"
 
 // Envelope is the form of a record in the log. Exactly one field is set.
@@ -26,17 +27,18 @@
 	Change    *wharfconfig.Change               `json:"change,omitempty"`
 	Ownership *wharfidempotency.OwnershipRecord `json:"home,omitempty"`
 	Snapshot  []byte                            `json:"snapshot,omitempty"`
-	// Routes is a whole set of routes. It takes the place of all earlier ones,
-	// so records that are missing before it don't matter.
+	// Routes is a complete set of routes. It replaces all earlier sets, so that
+	// missing route records before it have no effect.
 	Routes *wharfroute.Set `json:"routes,omitempty"`
 }
 
-// Encode returns the stored form of an envelope.
+// Encode returns the envelope as JSON.
 func (e Envelope) Encode() ([]byte, error) {
 	return json.Marshal(e)
 }
 
-// Decode reads a record. What can't be read is skipped by all nodes alike.
+// Decode parses a record and reports whether that succeeded. All nodes skip a
+// record that can't be parsed.
 func Decode(r wharfstream.Record) (Envelope, bool) {
 	var e Envelope
 	if err := json.Unmarshal(r.Data, &e); err != nil {
@@ -45,7 +47,7 @@
 	return e, true
 }
 
-// saved is the stored form of a state.
+// saved is the serialized form of a state.
 type saved struct {
 	Offset    uint64                 `json:"offset"`
 	Time      time.Time              `json:"time"`
@@ -54,16 +56,16 @@
 	Routes    *wharfroute.Set        `json:"routes,omitempty"`
 }
 
-// Save returns the compressed stored form of a state.
+// Save returns the serialized form of a state, compressed with gzip.
 func (s *State) Save() ([]byte, error) {
 	var b bytes.Buffer
 	w := gzip.NewWriter(&b)
-	form := saved{Offset: s.Offset(), Time: s.Time(), Config: s.Config().Save(), Ownership: s.Ownership().Save()}
+	stored := saved{Offset: s.Offset(), Time: s.Time(), Config: s.Config().Save(), Ownership: s.Ownership().Save()}
 	if t := s.Routes(); t != nil {
 		set := t.Set()
-		form.Routes = &set
+		stored.Routes = &set
 	}
-	if err := json.NewEncoder(w).Encode(form); err != nil {
+	if err := json.NewEncoder(w).Encode(stored); err != nil {
 		return nil, oops.Code("snapshot-encode").Wrap(err)
 	}
 	if err := w.Close(); err != nil {
@@ -72,32 +74,32 @@
 	return b.Bytes(), nil
 }
 
-// maxSnapshotBytes bounds what a stored form may unpack to.
+// maxSnapshotBytes limits the uncompressed size of a serialized state.
 const maxSnapshotBytes = 256 << 20
 
-// Load rebuilds a state from its stored form.
+// Load rebuilds a state from its serialized form.
 func Load(data []byte) (*State, error) {
 	r, err := gzip.NewReader(bytes.NewReader(data))
 	if err != nil {
 		return nil, oops.Code("snapshot-decode").Wrap(err)
 	}
-	var form saved
-	if err := json.NewDecoder(io.LimitReader(r, maxSnapshotBytes)).Decode(&form); err != nil {
+	var stored saved
+	if err := json.NewDecoder(io.LimitReader(r, maxSnapshotBytes)).Decode(&stored); err != nil {
 		return nil, oops.Code("snapshot-decode").Wrap(err)
 	}
 	state := &State{
-		offset: form.Offset,
-		time:   form.Time,
+		offset: stored.Offset,
+		time:   stored.Time,
 	}
-	// A state without changes or homes stays so, see onlyRoutes.
-	if form.Config.Offset > 0 {
-		state.config = wharfconfig.Load(form.Config)
+	// The parts that were never set stay nil, because onlyRoutes depends on it.
+	if stored.Config.Offset > 0 {
+		state.config = wharfconfig.Load(stored.Config)
 	}
-	if !form.Ownership.Empty() {
-		state.ownership = wharfidempotency.Load(form.Ownership)
+	if !stored.Ownership.Empty() {
+		state.ownership = wharfidempotency.Load(stored.Ownership)
 	}
-	if form.Routes != nil {
-		state.routes = wharfroute.NewTable(*form.Routes)
+	if stored.Routes != nil {
+		state.routes = wharfroute.NewTable(*stored.Routes)
 	}
 	return state, nil
 }
--- a/wharf/wharfstate/routes_test.go
+++ b/wharf/wharfstate/routes_test.go
@@ -18,9 +18,10 @@
 	return wharfstream.Record{Offset: offset, Data: data}
 }
 
-// TestRoutesNeverGoBack folds sets of routes in any order of versions, over
-// gaps and repeats.
-func TestRoutesNeverGoBack(t *testing.T) {
+// TestRoutesVersionNeverDecreases applies sets of routes with rising and falling
+// versions, with gaps in the log and with repeated records. An older set that
+// arrives late must not replace a newer one.
+func TestRoutesVersionNeverDecreases(t *testing.T) {
 	tests := []struct {
 		name            string
 		offsets         []uint64
@@ -57,9 +58,10 @@
 	}
 }
 
-// TestRoutesDoNotBridgeChanges keeps a state that has folded other records
-// before a gap, because those missing may matter.
-func TestRoutesDoNotBridgeChanges(t *testing.T) {
+// TestRoutesDoNotSkipMissingChanges guards against losing records in a gap. A
+// state that holds configuration changes must stop before the gap, because the
+// missing records may hold further changes.
+func TestRoutesDoNotSkipMissingChanges(t *testing.T) {
 	is := is.New(t)
 	s := &State{offset: 2}
 	s.config = s.config.WithChanges(nil)
--- a/wharf/wharfstate/state.go
+++ b/wharf/wharfstate/state.go
@@ -9,19 +9,20 @@
 	"ragwortwharf.dev/wharf/wharfstream"
 )
 
-// State is the fold of the log up to an offset. It never changes; WithRecords
-// returns a new one. A nil State is empty.
+// State is the result of applying the log up to an offset. It is immutable and
+// safe for concurrent use; WithRecords returns a new state. A nil State is
+// empty.
 type State struct {
 	offset    uint64
 	time      time.Time
 	config    *wharfconfig.Snapshot
 	ownership *wharfidempotency.OwnershipTable
 	routes    *wharfroute.Table
-	// snapshotOffset is where the last snapshot record stands.
+	// snapshotOffset is the offset of the last snapshot record that was applied.
 	snapshotOffset uint64
 }
 
-// Offset returns the offset of the last record that was folded.
+// Offset returns the offset of the last record that was applied.
 func (s *State) Offset() uint64 {
 	if s == nil {
 		return 0
@@ -29,7 +30,8 @@
 	return s.offset
 }
 
-// Time returns the time of the last record that was folded.
+// Time returns the time of the last record that was applied, by the clock of
+// the log service.
 func (s *State) Time() time.Time {
 	if s == nil {
 		return time.Time{}
@@ -37,7 +39,7 @@
 	return s.time
 }
 
-// Config returns the configuration.
+// Config returns the configuration, nil if no change was applied.
 func (s *State) Config() *wharfconfig.Snapshot {
 	if s == nil {
 		return nil
@@ -45,7 +47,8 @@
 	return s.config
 }
 
-// Ownership returns the ownership of keys.
+// Ownership returns the ownership of keys, nil if no ownership record was
+// applied.
 func (s *State) Ownership() *wharfidempotency.OwnershipTable {
 	if s == nil {
 		return nil
@@ -61,8 +64,9 @@
 	return s.routes
 }
 
-// SnapshotOffset returns the offset of the last snapshot record that was seen
-// in the log, so that a writer knows when the next one is due.
+// SnapshotOffset returns the offset of the last snapshot record that was applied
+// from the log. The node that writes snapshots uses it to decide when the next
+// one is due.
 func (s *State) SnapshotOffset() uint64 {
 	if s == nil {
 		return 0
@@ -70,28 +74,30 @@
 	return s.snapshotOffset
 }
 
-// WithRecords folds the records that continue the state. Records at or below
-// its offset are skipped. Where records are missing, a snapshot among those
-// given bridges the gap, or a set of routes if the state consists of routes
-// alone; without one the state stops before it.
+// WithRecords applies the records that follow the state and returns the new
+// state. The records must be in log order; those at or below the offset of the
+// state are skipped. If records are missing, a snapshot among the given records
+// skips the gap. A set of routes also skips it if the state holds only routes.
+// Otherwise the state stops before the gap.
 func (s *State) WithRecords(records []wharfstream.Record) *State {
 	if len(records) > 0 && records[0].Offset > s.Offset()+1 {
 		s = s.skipGap(records)
 	}
-	f := applier{base: s, offset: s.Offset(), time: s.Time(), snapshotOffset: s.SnapshotOffset()}
+	a := applier{base: s, offset: s.Offset(), time: s.Time(), snapshotOffset: s.SnapshotOffset()}
 	for _, r := range records {
-		if r.Offset > f.offset+1 && (!s.onlyRoutes() || !hasRoutes(r)) {
+		if r.Offset > a.offset+1 && (!s.onlyRoutes() || !hasRoutes(r)) {
 			break
 		}
-		f.offset = max(f.offset, r.Offset-1)
-		if r.Offset == f.offset+1 {
-			f.add(r)
+		a.offset = max(a.offset, r.Offset-1)
+		if r.Offset == a.offset+1 {
+			a.add(r)
 		}
 	}
-	return f.state()
+	return a.state()
 }
 
-// onlyRoutes reports whether nothing but routes was ever folded.
+// onlyRoutes reports whether the state holds neither configuration changes nor
+// ownership records.
 func (s *State) onlyRoutes() bool {
 	return s.Config() == nil && s.Ownership() == nil
 }
@@ -101,24 +107,25 @@
 	return ok && e.Routes != nil
 }
 
-// skipGap returns the furthest snapshot among the records, or the state itself
-// if there is none beyond it.
+// skipGap returns the state in the snapshot with the highest offset among the
+// records, or s if no snapshot is newer than s.
 func (s *State) skipGap(records []wharfstream.Record) *State {
-	best := s
+	newest := s
 	for _, r := range records {
 		e, ok := Decode(r)
 		if !ok || e.Snapshot == nil {
 			continue
 		}
 		loaded, err := Load(e.Snapshot)
-		if err == nil && loaded.Offset() > best.Offset() && loaded.Offset() < r.Offset {
-			best = loaded
+		if err == nil && loaded.Offset() > newest.Offset() && loaded.Offset() < r.Offset {
+			newest = loaded
 		}
 	}
-	return best
+	return newest
 }
 
-// applier collects the records of one call, so that maps are copied once.
+// applier collects the records of one WithRecords call, so that the maps are
+// copied only once.
 type applier struct {
 	base             *State
 	offset           uint64
@@ -129,49 +136,50 @@
 	routes           *wharfroute.Set
 }
 
-func (f *applier) add(r wharfstream.Record) {
-	f.offset, f.time = r.Offset, r.Time
+func (a *applier) add(r wharfstream.Record) {
+	a.offset, a.time = r.Offset, r.Time
 	e, ok := Decode(r)
 	switch {
 	case !ok:
 	case e.Change != nil:
-		f.changes = append(f.changes, wharfconfig.LoggedChange{Change: *e.Change, Offset: r.Offset, Time: r.Time})
+		a.changes = append(a.changes, wharfconfig.LoggedChange{Change: *e.Change, Offset: r.Offset, Time: r.Time})
 	case e.Ownership != nil:
-		f.ownershipRecords = append(f.ownershipRecords, wharfidempotency.LoggedRecord{Record: *e.Ownership, Offset: r.Offset, Time: r.Time})
+		a.ownershipRecords = append(a.ownershipRecords, wharfidempotency.LoggedRecord{Record: *e.Ownership, Offset: r.Offset, Time: r.Time})
 	case e.Routes != nil:
-		f.addRoutes(e.Routes)
+		a.addRoutes(e.Routes)
 	case e.Snapshot != nil:
-		f.snapshotOffset = r.Offset
+		a.snapshotOffset = r.Offset
 	}
 }
 
-// addRoutes takes a set of routes if its version is higher.
-func (f *applier) addRoutes(set *wharfroute.Set) {
-	version := f.base.Routes().Version()
-	if f.routes != nil {
-		version = f.routes.Version
+// addRoutes keeps a set of routes if its version is higher than the current
+// one.
+func (a *applier) addRoutes(set *wharfroute.Set) {
+	version := a.base.Routes().Version()
+	if a.routes != nil {
+		version = a.routes.Version
 	}
 	if set.Version > version {
-		f.routes = set
+		a.routes = set
 	}
 }
 
-func (f *applier) state() *State {
-	if f.base != nil && f.offset == f.base.offset {
-		return f.base
+func (a *applier) state() *State {
+	if a.base != nil && a.offset == a.base.offset {
+		return a.base
 	}
 	next := &State{
-		offset: f.offset, time: f.time, snapshotOffset: f.snapshotOffset,
-		config: f.base.Config(), ownership: f.base.Ownership(), routes: f.base.Routes(),
+		offset: a.offset, time: a.time, snapshotOffset: a.snapshotOffset,
+		config: a.base.Config(), ownership: a.base.Ownership(), routes: a.base.Routes(),
 	}
-	if len(f.changes) > 0 {
-		next.config = next.config.WithChanges(f.changes)
+	if len(a.changes) > 0 {
+		next.config = next.config.WithChanges(a.changes)
 	}
-	if len(f.ownershipRecords) > 0 {
-		next.ownership = next.ownership.WithRecords(f.ownershipRecords)
+	if len(a.ownershipRecords) > 0 {
+		next.ownership = next.ownership.WithRecords(a.ownershipRecords)
 	}
-	if f.routes != nil {
-		next.routes = wharfroute.NewTable(*f.routes)
+	if a.routes != nil {
+		next.routes = wharfroute.NewTable(*a.routes)
 	}
 	return next
 }
--- a/wharf/wharfstate/state_test.go
+++ b/wharf/wharfstate/state_test.go
@@ -23,9 +23,10 @@
 	return data
 }
 
-// someLog returns n records of every kind; each snapshot covers the records
-// up to a few before its own.
-func someLog(t interface{ Fatal(args ...any) }, n int) []wharfstream.Record {
+// sampleLog returns a log of n records: changes, ownership records, snapshots
+// and malformed records. Each snapshot holds the state as of a few records
+// before it.
+func sampleLog(t interface{ Fatal(args ...any) }, n int) []wharfstream.Record {
 	var records []wharfstream.Record
 	for i := range n {
 		var e Envelope
@@ -36,8 +37,8 @@
 		case 2:
 			e.Ownership = &wharfidempotency.OwnershipRecord{Kind: wharfidempotency.Announce, Node: fmt.Sprint("n", i%7), Incarnation: uint64(i), Services: []string{"s"}}
 		case 3:
-			covered := (*State)(nil).WithRecords(records[:max(len(records)-2, 0)])
-			data, err := covered.Save()
+			state := (*State)(nil).WithRecords(records[:max(len(records)-2, 0)])
+			data, err := state.Save()
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -52,11 +53,12 @@
 	return records
 }
 
-// TestAnyWindowsGiveTheSameState starts anywhere, loses its memory now and
-// then, and compares with the fold of the whole log.
-func TestAnyWindowsGiveTheSameState(t *testing.T) {
+// TestAnyRangesOfLogGiveSameState applies random ranges of the log, which repeat,
+// overlap and leave gaps. The offset must never decrease, and the state must
+// equal one that applied the log from the start.
+func TestAnyRangesOfLogGiveSameState(t *testing.T) {
 	const n = 40
-	log := someLog(t, n)
+	log := sampleLog(t, n)
 	rapid.Check(t, func(t *rapid.T) {
 		var s *State
 		for s.Offset() < n {
@@ -65,12 +67,12 @@
 			to := rapid.IntRange(from, n).Draw(t, "to")
 			s = s.WithRecords(log[from:to])
 			if s.Offset() < before {
-				t.Fatalf("went back from %d to %d", before, s.Offset())
+				t.Fatalf("offset decreased from %d to %d", before, s.Offset())
 			}
-			whole := (*State)(nil).WithRecords(log[:s.Offset()])
-			if len(whole.Config().Objects()) != len(s.Config().Objects()) ||
-				fmt.Sprint(whole.Ownership().Owners("s")) != fmt.Sprint(s.Ownership().Owners("s")) {
-				t.Fatalf("states differ at %d", s.Offset())
+			want := (*State)(nil).WithRecords(log[:s.Offset()])
+			if len(want.Config().Objects()) != len(s.Config().Objects()) ||
+				fmt.Sprint(want.Ownership().Owners("s")) != fmt.Sprint(s.Ownership().Owners("s")) {
+				t.Fatalf("state differs from the expected one at offset %d", s.Offset())
 			}
 		}
 	})
@@ -78,10 +80,10 @@
 
 func TestGapWithoutSnapshotStops(t *testing.T) {
 	is := is.New(t)
-	log := someLog(t, 10)
+	log := sampleLog(t, 10)
 	s := (*State)(nil).WithRecords(log[:1])
 	is.Equal(s.WithRecords(log[5:8]).Offset(), uint64(1))
-	is.Equal(s.WithRecords(log[5:9]).Offset(), uint64(9)) // record 9 holds a snapshot up to 6
+	is.Equal(s.WithRecords(log[5:9]).Offset(), uint64(9)) // record 9 holds a snapshot of the state at offset 6
 }
 
 func TestBrokenSnapshotIsRefused(t *testing.T) {
