--- a/wharf/wharfwire/checksum.go
+++ b/wharf/wharfwire/checksum.go
@@ -2,16 +2,18 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// ChunkSize is the largest piece of a body in one frame, in bytes.
+// ChunkSize is the largest part of a body in one frame, in bytes.
 const ChunkSize = 32 << 10
 
-// BodySum measures a body while it passes. The zero BodySum is an empty body.
+// BodySum computes the length and the xxHash checksum of a body while the body
+// is streamed. The zero BodySum is that of an empty body. It is not safe for
+// concurrent use.
 type BodySum struct {
 	length uint64
 	digest *xxhash.Digest
 }
 
-// Add takes the next piece of the body.
+// Add adds the next part of the body.
 func (s *BodySum) Add(p []byte) {
 	if s.digest == nil {
 		s.digest = xxhash.New()
@@ -20,7 +22,8 @@
 	_, _ = s.digest.Write(p)
 }
 
-// End returns the closing frame of the body.
+// End returns the length and checksum of the parts added so far, as the end
+// message of the body.
 func (s *BodySum) End() *BodyEnd {
 	if s.digest == nil {
 		return &BodyEnd{Xxhash: xxhash.Sum64(nil)}
@@ -28,8 +31,9 @@
 	return &BodyEnd{Length: s.length, Xxhash: s.digest.Sum64()}
 }
 
-// Matches reports whether the closing frame belongs to the body that passed.
+// Matches reports whether the length and checksum in the end message equal
+// those of the body. It returns false for nil.
 func (s *BodySum) Matches(end *BodyEnd) bool {
-	own := s.End()
-	return end != nil && own.GetLength() == end.GetLength() && own.GetXxhash() == end.GetXxhash()
+	want := s.End()
+	return end != nil && want.GetLength() == end.GetLength() && want.GetXxhash() == end.GetXxhash()
 }
--- a/wharf/wharfwire/context.go
+++ b/wharf/wharfwire/context.go
@@ -9,27 +9,28 @@
 
 const (
 	contextVersion   = "1"
-	contextParts     = 5
+	contextFields    = 5
 	requestIDDigits  = 32
-	maxContextLength = 128
+	maxContextLength = 128 // bytes
 )
 
-// MaxDepth is the deepest call chain that a node accepts.
+// MaxDepth is the greatest depth of a call chain that a node accepts.
 const MaxDepth = 32
 
-// Context is what the wharf-context header carries from the call that a
-// service serves to the calls that it makes. The grant names the entry in the
-// ledger of the node that dispatched the call; class, deadline and attempts
-// stay in that entry, where a service can't change them.
+// Context is the content of the Wharf-Context header. A service copies the
+// header from the call that it serves to the calls that it makes. Grant
+// identifies the entry in the ledger of the node that dispatched the call. That
+// entry holds class, deadline and attempts, so that a service can't change them.
 type Context struct {
 	RequestID string
 	Grant     uint64
 	Depth     int
-	// Attempts says how many were granted. It informs the service only.
+	// Attempts is the number of attempts granted, for the information of the
+	// service only. Nodes don't use it.
 	Attempts int
 }
 
-// String returns the header form.
+// String returns the value of the header.
 func (c Context) String() string {
 	return strings.Join([]string{
 		contextVersion,
@@ -40,14 +41,14 @@
 	}, "-")
 }
 
-// ParseContext reads the header form.
+// ParseContext parses the value of the header.
 func ParseContext(text string) (Context, error) {
 	if len(text) > maxContextLength {
 		return Context{}, contextError("is %d bytes long, at most %d are allowed", len(text), maxContextLength)
 	}
 	parts := strings.Split(text, "-")
-	if len(parts) != contextParts || parts[0] != contextVersion {
-		return Context{}, contextError("has not the form %s-REQUEST-GRANT-DEPTH-ATTEMPTS", contextVersion)
+	if len(parts) != contextFields || parts[0] != contextVersion {
+		return Context{}, contextError("does not have the form %s-REQUEST-GRANT-DEPTH-ATTEMPTS", contextVersion)
 	}
 	if !isLowerHex(parts[1], requestIDDigits) {
 		return Context{}, contextError("has a request id that is not %d hexadecimal digits", requestIDDigits)
@@ -71,6 +72,7 @@
 	return oops.Code("context-syntax").Errorf("wharf-context "+format, args...)
 }
 
+// isLowerHex reports whether s consists of n lower-case hexadecimal digits.
 func isLowerHex(s string, n int) bool {
 	if len(s) != n {
 		return false
--- a/wharf/wharfwire/doc.go
+++ b/wharf/wharfwire/doc.go
@@ -1,6 +1,7 @@
-// Package wharfwire holds what travels between processes: the messages of
+// Package wharfwire defines what processes send to each other: the messages of
 // the node-to-node protocol (generated from wharf.proto), the names of the
 // HTTP headers, the context header and the checksum of a body.
 //
-// The entry and the target side of a node both build on it.
+// Both the caller's side (wharfproxy) and the target's side (wharftarget) of a
+// node use it.
 package wharfwire
--- a/wharf/wharfwire/headers.go
+++ b/wharf/wharfwire/headers.go
@@ -2,7 +2,7 @@
 
 import "net/http"
 
-// Names of the HTTP headers that callers, services and nodes share.
+// Names of the HTTP headers between callers, services and nodes.
 const (
 	HeaderService        = "Wharf-Service"
 	HeaderContext        = "Wharf-Context"
@@ -12,11 +12,12 @@
 	HeaderReason         = "Wharf-Reason"
 	HeaderIdempotencyKey = "Idempotency-Key"
 	HeaderRetryAfter     = "Retry-After"
-	// HeaderRetryAfterMs gives the advice of retry-after in milliseconds.
+	// HeaderRetryAfterMs is the retry-after hint in milliseconds.
 	HeaderRetryAfterMs = "Wharf-Retry-After-Ms"
 )
 
-// hopByHop lists the headers that belong to one connection only.
+// hopByHop lists the headers that apply to a single connection (hop-by-hop
+// headers).
 var hopByHop = []string{
 	"Connection",
 	"Keep-Alive",
@@ -30,19 +31,20 @@
 	"Content-Length",
 }
 
-// ownHeaders lists the headers that a node sets itself on each hop.
-var ownHeaders = []string{
+// nodeHeaders lists the headers that each node sets itself and doesn't forward.
+var nodeHeaders = []string{
 	HeaderContext,
 	HeaderOutcome,
 	HeaderReason,
 	HeaderTimeout,
 }
 
-// PackHeaders copies the end-to-end headers into messages.
+// PackHeaders converts the end-to-end headers to messages. The messages share
+// the value slices with h.
 func PackHeaders(h http.Header) []*Header {
 	out := make([]*Header, 0, len(h))
 	for name, values := range h {
-		if listed(hopByHop, name) || listed(ownHeaders, name) {
+		if listed(hopByHop, name) || listed(nodeHeaders, name) {
 			continue
 		}
 		out = append(out, &Header{Name: name, Values: values})
@@ -50,14 +52,15 @@
 	return out
 }
 
-// UnpackHeaders copies messages into headers, without those of one hop.
-func UnpackHeaders(into http.Header, packed []*Header) {
+// UnpackHeaders adds the end-to-end headers in the messages to headers. It
+// shares the value slices with the messages.
+func UnpackHeaders(headers http.Header, packed []*Header) {
 	for _, h := range packed {
 		name := http.CanonicalHeaderKey(h.GetName())
-		if listed(hopByHop, name) || listed(ownHeaders, name) {
+		if listed(hopByHop, name) || listed(nodeHeaders, name) {
 			continue
 		}
-		into[name] = h.GetValues()
+		headers[name] = h.GetValues()
 	}
 }
 
--- a/wharf/wharfwire/wire_test.go
+++ b/wharf/wharfwire/wire_test.go
@@ -8,7 +8,7 @@
 	"github.com/matryer/is"
 )
 
-func TestParseContextFaults(t *testing.T) {
+func TestParseContextErrors(t *testing.T) {
 	id := strings.Repeat("a", requestIDDigits)
 	tests := []struct {
 		name string
@@ -38,14 +38,14 @@
 		if err != nil {
 			return
 		}
-		again, err := ParseContext(c.String())
-		if err != nil || again != c {
-			t.Fatalf("%q became %q: %v", text, c.String(), err)
+		reparsed, err := ParseContext(c.String())
+		if err != nil || reparsed != c {
+			t.Fatalf("%q was formatted as %q, which parses differently: %v", text, c.String(), err)
 		}
 	})
 }
 
-func TestHeadersOfOneHopStayBehind(t *testing.T) {
+func TestHopByHopHeadersAreRemoved(t *testing.T) {
 	is := is.New(t)
 	packed := PackHeaders(http.Header{
 		"Connection":  {"close"},
@@ -57,14 +57,14 @@
 	is.Equal(got, http.Header{"Accept": {"a", "b"}})
 }
 
-func TestBodySumTellsBodiesApart(t *testing.T) {
+func TestBodySumDetectsDifferentBody(t *testing.T) {
 	is := is.New(t)
-	var whole, part, empty BodySum
-	whole.Add([]byte("timetable"))
-	part.Add([]byte("time"))
-	part.Add([]byte("table"))
-	is.True(whole.Matches(part.End()))
-	is.True(!whole.Matches(empty.End()))
-	is.True(!whole.Matches(nil))
+	var full, chunked, empty BodySum
+	full.Add([]byte("timetable"))
+	chunked.Add([]byte("time"))
+	chunked.Add([]byte("table"))
+	is.True(full.Matches(chunked.End()))
+	is.True(!full.Matches(empty.End()))
+	is.True(!full.Matches(nil))
 	is.True(empty.Matches((&BodySum{}).End()))
 }
