--- a/wharf/wharflog/client.go
+++ b/wharf/wharflog/client.go
@@ -13,38 +13,41 @@
 	"ragwortwharf.dev/wharf/wharfstream"
 )
 
-// Paths and parameters of the log service.
+// Path and query parameters of the log service.
 const (
-	// RecordsPath is where the records of a stream are appended and read.
+	// RecordsPath is the path at which records of a stream are appended and read.
 	RecordsPath = "/v1/streams/{stream}/records"
 	ParamFrom   = "from"
 	ParamLimit  = "limit"
 	ParamWait   = "wait-ms"
 )
 
-// callTimeout bounds one call, on top of the wait that a read asks for.
+// callTimeout limits one call, in addition to the wait of a read.
 const callTimeout = 2 * time.Second
 
-// AppendResponse is the body of the answer to an append.
+// AppendResponse is the body of the response to an append.
 type AppendResponse struct {
 	Offset uint64 `json:"offset"`
 }
 
-// Client speaks HTTP to the log service. It never repeats a call.
+// Client calls the log service over HTTP. It never repeats a call. It is safe
+// for concurrent use.
 type Client struct {
 	http *resty.Client
 }
 
-// NewClient returns a client of the log service at a URL.
+// NewClient returns a client of the log service at a base URL.
 func NewClient(url string) *Client {
-	// No retry is configured here or in the transport: an append that is
-	// repeated without the caller's knowledge would hide a lost answer.
+	// Neither the client nor the transport may retry: if an append were repeated
+	// without the caller's knowledge, the loss of its response would be hidden.
 	transport := http.DefaultTransport.(*http.Transport).Clone()
 	transport.Proxy = nil
 	return &Client{http: resty.New().SetTransport(transport).SetBaseURL(url).SetRetryCount(0)}
 }
 
-// Append adds a record. ErrUncertain means that it may have taken effect.
+// Append adds a record and returns its offset. The error is ErrRateLimited or
+// ErrUnavailable if the record was not appended, and wraps ErrUncertain if it may
+// have been.
 func (c *Client) Append(ctx context.Context, stream string, data []byte) (uint64, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -71,8 +74,10 @@
 	}
 }
 
-// Read returns records from an offset on, and waits for one if there is none.
-// With ErrExpired the batch says which offsets are left.
+// Read returns up to limit records, starting at offset from. If there is none it
+// waits for one, at most for wait, and then returns an empty batch. If records
+// have expired, the error is ErrExpired and the batch holds the offsets that are
+// still available. Other errors wrap ErrUnavailable.
 func (c *Client) Read(ctx context.Context, stream string, from uint64, limit int, wait time.Duration) (wharfstream.Batch, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+callTimeout)
 	defer cancel()
--- a/wharf/wharflog/contract_test.go
+++ b/wharf/wharflog/contract_test.go
@@ -14,7 +14,7 @@
 	"ragwortwharf.dev/wharf/wharfstream"
 )
 
-// fakeClock is a clock that tests move.
+// fakeClock is a clock that tests advance.
 type fakeClock struct {
 	mu  sync.Mutex
 	now time.Time
@@ -34,7 +34,7 @@
 
 const testStream = "records"
 
-// contract is what every log must do.
+// contract lists the properties that every implementation of Log must have.
 var contract = []struct {
 	name string
 	test func(is *is.I, l Log, c *fakeClock)
@@ -51,14 +51,14 @@
 		is.Equal(b.Records[0].Data, []byte{2})
 		is.Equal(b.Next, uint64(4))
 	}},
-	{"streams are apart", func(is *is.I, l Log, _ *fakeClock) {
+	{"streams are independent", func(is *is.I, l Log, _ *fakeClock) {
 		_, err := l.Append(context.Background(), "other", nil)
 		is.NoErr(err)
 		b, err := l.Read(context.Background(), testStream, 1, 10, 0)
 		is.NoErr(err)
 		is.Equal(len(b.Records), 0)
 	}},
-	{"a read is cut to its limit", func(is *is.I, l Log, _ *fakeClock) {
+	{"a read returns at most its limit", func(is *is.I, l Log, _ *fakeClock) {
 		for range 5 {
 			_, err := l.Append(context.Background(), testStream, nil)
 			is.NoErr(err)
@@ -77,7 +77,7 @@
 		is.NoErr(err)
 		is.Equal(len((<-got).Records), 1)
 	}},
-	{"a read past the end returns empty", func(is *is.I, l Log, _ *fakeClock) {
+	{"a read past the end returns an empty batch", func(is *is.I, l Log, _ *fakeClock) {
 		b, err := l.Read(context.Background(), testStream, 9, 10, time.Millisecond)
 		is.NoErr(err)
 		is.Equal(len(b.Records), 0)
@@ -117,7 +117,7 @@
 	}
 }
 
-// faultyLog fails appends and counts those that arrived.
+// faultyLog appends records but returns err, and counts the calls of Append.
 type faultyLog struct {
 	Memory
 	err      error
@@ -133,7 +133,10 @@
 	return offset, err
 }
 
-func TestClientTellsFailuresApart(t *testing.T) {
+// TestClientDistinguishesFailures guards against a client or transport that
+// resends a failed append, which would add the record twice, and against errors
+// that hide whether the append may have taken effect.
+func TestClientDistinguishesFailures(t *testing.T) {
 	for _, want := range []error{wharfstream.ErrUncertain, wharfstream.ErrRateLimited, wharfstream.ErrUnavailable} {
 		t.Run(want.Error(), func(t *testing.T) {
 			is := is.New(t)
@@ -141,11 +144,12 @@
 			server := httptest.NewServer(Handler(l))
 			defer server.Close()
 			client := NewClient(server.URL)
-			// The first append leaves a connection that is used again.
-			for sends := int32(1); sends <= 3; sends++ {
+			// The first append opens a connection that the later ones may reuse.
+			// An HTTP transport may resend requests on reused connections.
+			for appends := int32(1); appends <= 3; appends++ {
 				_, err := client.Append(context.Background(), testStream, []byte("x"))
 				is.True(errors.Is(err, want))
-				is.Equal(l.arrivals.Load(), sends) // nothing resends on its own
+				is.Equal(l.arrivals.Load(), appends) // each append is sent once
 			}
 		})
 	}
--- a/wharf/wharflog/doc.go
+++ b/wharf/wharflog/doc.go
@@ -1,6 +1,6 @@
-// Package wharflog holds the clients of the platform's append-only log: the
-// HTTP adapter, and a log in memory that tests and the stand-in build on.
+// Package wharflog provides access to the platform's append-only log: an HTTP
+// client, and a log in memory for tests and the stand-in.
 //
-// It does I/O, so decision packages know only wharfstream. The node and
-// wharfctl use the adapter through small interfaces of their own.
+// It does I/O, so decision packages import only wharfstream. The node and
+// wharfctl use the client through small interfaces that they declare.
 package wharflog
--- a/wharf/wharflog/handler.go
+++ b/wharf/wharflog/handler.go
@@ -13,22 +13,25 @@
 )
 
 const (
-	// maxRecord bounds one record, in bytes.
-	maxRecord = 64 << 20
-	// maxWait bounds how long a read waits for records.
+	// maxRecordBytes limits the size of one record.
+	maxRecordBytes = 64 << 20
+	// maxWait limits how long a read waits for records.
 	maxWait = 30 * time.Second
-	// defaultRead and maxRead are numbers of records in one read.
-	defaultRead = 100
-	maxRead     = 10_000
+	// defaultReadRecords and maxReadRecords limit the number of records that one
+	// read returns.
+	defaultReadRecords = 100
+	maxReadRecords     = 10_000
 )
 
-// Log is a log that a Handler can serve.
+// Log is a log that Handler can serve. Its methods return the errors of
+// wharfstream.
 type Log interface {
 	Append(ctx context.Context, stream string, data []byte) (uint64, error)
 	Read(ctx context.Context, stream string, from uint64, limit int, wait time.Duration) (wharfstream.Batch, error)
 }
 
-// Handler serves a log in the form that Client speaks, for stand-ins and tests.
+// Handler returns an HTTP handler that serves a log to Clients, for stand-ins
+// and tests.
 func Handler(l Log) http.Handler {
 	h := handler{l}
 	mux := http.NewServeMux()
@@ -42,7 +45,7 @@
 }
 
 func (h handler) append(w http.ResponseWriter, r *http.Request) {
-	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxRecord))
+	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxRecordBytes))
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
@@ -50,43 +53,46 @@
 	offset, err := h.log.Append(r.Context(), r.PathValue("stream"), data)
 	switch {
 	case errors.Is(err, wharfstream.ErrUncertain):
-		// The answer is lost: the client must not be told anything.
+		// Close the connection without a response, so that the client can't
+		// tell whether the append took effect.
 		panic(http.ErrAbortHandler)
 	case errors.Is(err, wharfstream.ErrRateLimited):
 		http.Error(w, err.Error(), http.StatusTooManyRequests)
 	case err != nil:
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
 	default:
-		reply(w, http.StatusCreated, AppendResponse{Offset: offset})
+		writeJSON(w, http.StatusCreated, AppendResponse{Offset: offset})
 	}
 }
 
 func (h handler) read(w http.ResponseWriter, r *http.Request) {
-	from := uint64(max(number(r, ParamFrom, firstOffset), 0))
-	limit := min(max(number(r, ParamLimit, defaultRead), 1), maxRead)
-	wait := min(time.Duration(number(r, ParamWait, 0))*time.Millisecond, maxWait)
+	from := uint64(max(queryNumber(r, ParamFrom, firstOffset), 0))
+	limit := min(max(queryNumber(r, ParamLimit, defaultReadRecords), 1), maxReadRecords)
+	wait := min(time.Duration(queryNumber(r, ParamWait, 0))*time.Millisecond, maxWait)
 	batch, err := h.log.Read(r.Context(), r.PathValue("stream"), from, limit, wait)
 	switch {
 	case errors.Is(err, wharfstream.ErrExpired):
-		reply(w, http.StatusGone, batch)
+		writeJSON(w, http.StatusGone, batch)
 	case err != nil:
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
 	default:
-		reply(w, http.StatusOK, batch)
+		writeJSON(w, http.StatusOK, batch)
 	}
 }
 
-func reply(w http.ResponseWriter, status int, body any) {
+func writeJSON(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	// A client that went away needs no answer.
+	// The error is ignored: a client that has disconnected needs no response.
 	_ = json.NewEncoder(w).Encode(body)
 }
 
-func number(r *http.Request, name string, missing int) int {
+// queryNumber returns a query parameter, or the default if it is missing or not
+// a number.
+func queryNumber(r *http.Request, name string, defaultValue int) int {
 	n, err := strconv.Atoi(r.URL.Query().Get(name))
 	if err != nil {
-		return missing
+		return defaultValue
 	}
 	return n
 }
--- a/wharf/wharflog/memory.go
+++ b/wharf/wharflog/memory.go
@@ -11,11 +11,12 @@
 // firstOffset is the offset of the first record of a stream.
 const firstOffset = 1
 
-// Memory is a log that lives in memory. The zero Memory keeps every record.
+// Memory is a log in memory. The zero Memory is empty and keeps every record. It
+// is safe for concurrent use.
 type Memory struct {
-	// Retention is how long records are kept; zero keeps them for good.
+	// Retention is how long records are kept; zero means forever.
 	Retention time.Duration
-	// Now reads the clock; nil reads that of the system.
+	// Now returns the current time; nil means time.Now.
 	Now func() time.Time
 
 	mu      sync.Mutex
@@ -24,7 +25,9 @@
 
 type memoryStream struct {
 	records []wharfstream.Record
-	next    uint64
+	// next is the offset of the next record.
+	next uint64
+	// changed is closed at the next append.
 	changed chan struct{}
 }
 
@@ -35,7 +38,7 @@
 	return time.Now()
 }
 
-// stream returns a stream; the caller holds the lock.
+// stream returns a stream and creates it if needed. The caller must hold m.mu.
 func (m *Memory) stream(name string) *memoryStream {
 	if m.streams == nil {
 		m.streams = make(map[string]*memoryStream)
@@ -64,8 +67,9 @@
 	return offset, nil
 }
 
-// Read returns up to limit records from an offset on. With nothing to return
-// it waits for an append, as long as wait allows.
+// Read returns up to limit records, starting at offset from. If there is none it
+// waits for an append, at most for wait, and then returns an empty batch. It
+// returns ErrExpired if the record at from has expired.
 func (m *Memory) Read(ctx context.Context, stream string, from uint64, limit int, wait time.Duration) (wharfstream.Batch, error) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
@@ -100,19 +104,20 @@
 	return batch, s.changed, nil
 }
 
+// expire drops the records older than the retention. The caller must hold m.mu.
 func (m *Memory) expire(s *memoryStream) {
 	if m.Retention <= 0 {
 		return
 	}
-	limit := m.now().Add(-m.Retention)
+	cutoff := m.now().Add(-m.Retention)
 	n := 0
-	for n < len(s.records) && s.records[n].Time.Before(limit) {
+	for n < len(s.records) && s.records[n].Time.Before(cutoff) {
 		n++
 	}
 	s.records = s.records[n:]
 }
 
-// DropBefore drops the records before an offset, as their expiry does.
+// DropBefore drops the records before an offset, as if they had expired.
 func (m *Memory) DropBefore(stream string, offset uint64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
