--- a/wharf/wharfcli/checks.go
+++ b/wharf/wharfcli/checks.go
@@ -7,33 +7,34 @@
 	"time"
 )
 
-var domainName = regexp.MustCompile(`^[a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?$`)
+// dnsLabel matches a DNS label in lower case.
+var dnsLabel = regexp.MustCompile(`^[a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?$`)
 
-// Address checks that a value is an IP number and a port.
-func (f *Issues) Address(flag, value string) {
+// Address adds an issue if the value is not an IP address with a port.
+func (list *Issues) Address(flag, value string) {
 	if _, err := netip.ParseAddrPort(value); err != nil {
-		f.Add(flag, "%q is not of the form IP:port", value)
+		list.Add(flag, "%q is not of the form IP:port", value)
 	}
 }
 
-// URL checks that a value is an absolute HTTP URL.
-func (f *Issues) URL(flag, value string) {
+// URL adds an issue if the value is not an absolute http or https URL.
+func (list *Issues) URL(flag, value string) {
 	u, err := url.Parse(value)
 	if err != nil || u.Scheme != "http" && u.Scheme != "https" || u.Host == "" {
-		f.Add(flag, "%q is not a URL such as http://127.0.0.1:7400", value)
+		list.Add(flag, "%q is not a URL such as http://127.0.0.1:7400", value)
 	}
 }
 
-// Name checks that a value is a short kebab-case name.
-func (f *Issues) Name(flag, value string) {
-	if !domainName.MatchString(value) {
-		f.Add(flag, "%q is not a name of lower-case letters, digits and hyphens", value)
+// Name adds an issue if the value is not a lower-case DNS label.
+func (list *Issues) Name(flag, value string) {
+	if !dnsLabel.MatchString(value) {
+		list.Add(flag, "%q is not a name of lower-case letters, digits and hyphens", value)
 	}
 }
 
-// AtLeast checks the least value of a time span.
-func (f *Issues) AtLeast(flag string, value, least time.Duration) {
-	if value < least {
-		f.Add(flag, "%v is shorter than %v", value, least)
+// AtLeast adds an issue if the duration is shorter than the minimum.
+func (list *Issues) AtLeast(flag string, value, minimum time.Duration) {
+	if value < minimum {
+		list.Add(flag, "%v is shorter than %v", value, minimum)
 	}
 }
--- a/wharf/wharfcli/cli.go
+++ b/wharf/wharfcli/cli.go
@@ -21,34 +21,38 @@
 	ExitUsage   = 2
 )
 
-// Version is the version of the programs; the build sets it.
+// Version is the version of the programs. The build sets it with -ldflags.
 var Version = "dev"
 
-// Program is a command line to parse.
+// Program describes a program and its command line.
 type Program struct {
 	Name        string
 	Description string
 	Args        []string
 	Stdout      io.Writer
 	Stderr      io.Writer
-	// Context and Bind are what the Run methods of commands can ask for.
+	// Context and Bind are the values that kong passes to the Run methods of
+	// commands, by the types of their parameters.
 	Context context.Context
 	Bind    []any
 }
 
-// Checker is a command line that can report faults of its values.
+// Checker is implemented by a command line that checks its settings after
+// parsing.
 type Checker interface {
 	Check() Issues
 }
 
-// exited carries the exit code of --help and --version out of the parser.
-type exited int
+// exitCode is the panic value that passes the exit code of --help and --version
+// out of the parser.
+type exitCode int
 
-// Parse reads the command line into a value. If done is true the program ends
-// with the code.
+// Parse parses the command line into a pointer to a struct with kong tags. If
+// done is true, the program must exit with code. Parse prints usage errors and
+// issues to Stderr. It panics if the struct is not valid for kong.
 func (p Program) Parse(into any) (kctx *kong.Context, code int, done bool) {
 	defer func() {
-		if e, ok := recover().(exited); ok {
+		if e, ok := recover().(exitCode); ok {
 			code, done = int(e), true
 		}
 	}()
@@ -56,7 +60,7 @@
 		kong.Name(p.Name),
 		kong.Description(p.Description),
 		kong.Writers(p.Stdout, p.Stderr),
-		kong.Exit(func(code int) { panic(exited(code)) }),
+		kong.Exit(func(code int) { panic(exitCode(code)) }),
 		kong.Vars{"version": p.Name + " " + Version},
 		kong.Bind(p.Bind...),
 		kong.BindTo(p.Context, (*context.Context)(nil)),
@@ -69,85 +73,88 @@
 		_, _ = fmt.Fprintf(p.Stderr, "%s: %v\n", p.Name, err)
 		return nil, ExitUsage, true
 	}
-	if checked, ok := into.(Checker); ok {
-		if faults := checked.Check(); len(faults) > 0 {
-			_, _ = fmt.Fprintf(p.Stderr, "%s: %d faulty settings\n%v\n", p.Name, len(faults), faults)
+	if checker, ok := into.(Checker); ok {
+		if issues := checker.Check(); len(issues) > 0 {
+			_, _ = fmt.Fprintf(p.Stderr, "%s: %d faulty settings\n%v\n", p.Name, len(issues), issues)
 			return nil, ExitUsage, true
 		}
 	}
 	return kctx, ExitOK, false
 }
 
-// Logs are the settings of logs that the programs share.
+// Logs holds the logging settings that the programs share.
 type Logs struct {
-	LogFormat string `default:"text" enum:"text,json" env:"WHARF_LOG_FORMAT" help:"Form of the logs: text or json."`
-	LogLevel  string `default:"info" enum:"debug,info,warn,error" env:"WHARF_LOG_LEVEL" help:"Least level that is logged."`
+	LogFormat string `default:"text" enum:"text,json" env:"WHARF_LOG_FORMAT" help:"Log format: text or json."`
+	LogLevel  string `default:"info" enum:"debug,info,warn,error" env:"WHARF_LOG_LEVEL" help:"Lowest level that is logged."`
 }
 
-// Logger returns a logger with the settings, and what writes its lines.
+// Logger returns a logger with the settings, and its handler. The log lines are
+// written only while WriteLines or the handler's Run is active.
 func (l Logs) Logger() (*log.Logger, *RateLimitedHandler) {
 	format := func(w io.Writer) log.Handler { return text.New(w) }
 	if l.LogFormat == "json" {
 		format = func(w io.Writer) log.Handler { return json.New(w) }
 	}
-	lines := NewRateLimitedHandler(format)
-	logger := &log.Logger{Level: log.InfoLevel, Handler: lines}
+	handler := NewRateLimitedHandler(format)
+	logger := &log.Logger{Level: log.InfoLevel, Handler: handler}
 	if level, err := log.ParseLevel(l.LogLevel); err == nil {
 		logger.Level = level
 	}
-	return logger, lines
+	return logger, handler
 }
 
-// WriteLines writes the lines of a log until the returned function is called,
-// which waits until the last one is written.
-func WriteLines(lines *RateLimitedHandler, w io.Writer) (stop func()) {
+// WriteLines starts a goroutine that writes the log lines of a handler to w. The
+// returned function stops it, after it has written the queued lines or the flush
+// timeout has passed.
+func WriteLines(handler *RateLimitedHandler, w io.Writer) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var group sync.WaitGroup
-	group.Go(func() { lines.Run(ctx, w) })
+	group.Go(func() { handler.Run(ctx, w) })
 	return func() {
 		cancel()
 		group.Wait()
 	}
 }
 
-// Issues lists what is wrong with settings.
+// Issues lists the issues of settings, one message each.
 type Issues []string
 
-// Error returns the faults, one a line.
-func (f Issues) Error() string {
-	return "  " + strings.Join(f, "\n  ")
+// Error returns the issues, one on each line, indented.
+func (list Issues) Error() string {
+	return "  " + strings.Join(list, "\n  ")
 }
 
-// Add notes a fault of a flag.
-func (f *Issues) Add(flag, format string, args ...any) {
-	*f = append(*f, "--"+flag+": "+fmt.Sprintf(format, args...))
+// Add adds an issue of a flag.
+func (list *Issues) Add(flag, format string, args ...any) {
+	*list = append(*list, "--"+flag+": "+fmt.Sprintf(format, args...))
 }
 
-// Finish runs the command that was parsed and returns the exit code.
+// Finish runs the parsed command, prints its error to Stderr and returns the
+// exit code.
 func (p Program) Finish(kctx *kong.Context) int {
 	err := kctx.Run()
 	if err == nil {
 		return ExitOK
 	}
-	var coded ExitError
-	if errors.As(err, &coded) {
-		if coded.Err != nil {
-			_, _ = fmt.Fprintf(p.Stderr, "%s: %v\n", p.Name, coded.Err)
+	var exitErr ExitError
+	if errors.As(err, &exitErr) {
+		if exitErr.Err != nil {
+			_, _ = fmt.Fprintf(p.Stderr, "%s: %v\n", p.Name, exitErr.Err)
 		}
-		return coded.Code
+		return exitErr.Code
 	}
 	_, _ = fmt.Fprintf(p.Stderr, "%s: %v\n", p.Name, err)
 	return ExitFailure
 }
 
-// ExitError ends a program with a code of its own. Without Err nothing more is
-// printed.
+// ExitError is an error of a command that sets the exit code. If Err is nil,
+// nothing is printed.
 type ExitError struct {
 	Code int
 	Err  error
 }
 
-// Error returns the text of the cause.
+// Error returns the message of Err, or "exit" if it is nil.
 func (e ExitError) Error() string {
 	if e.Err == nil {
 		return "exit"
--- a/wharf/wharfcli/doc.go
+++ b/wharf/wharfcli/doc.go
@@ -1,6 +1,6 @@
-// Package wharfcli is what the programs share at their command line: parsing
-// with one exit code for wrong use, checks of settings that report all faults
-// at once, and the set-up of logs.
+// Package wharfcli holds the command-line code that the programs share: parsing
+// with one exit code for usage errors, checks of settings that report all
+// issues at once, and the setup of logging.
 //
 // Only the main packages and their commands use it.
 package wharfcli
--- a/wharf/wharfcli/ratelimit.go
+++ b/wharf/wharfcli/ratelimit.go
@@ -12,124 +12,135 @@
 )
 
 const (
-	// infoLines and warnLines bound the lines of a second by their level, so that
-	// lines on served requests don't push out those on failed ones. Together they
-	// are below what a terminal or a collector takes without effort.
-	infoLines = 10
-	warnLines = 40
-	// queuedLines is how many lines wait for a writer that doesn't drain.
-	queuedLines = 256
+	// infoLinesPerSecond limits the lines below level warn, warnLinesPerSecond
+	// those of level warn and above. The limits are separate, so that lines about
+	// served requests don't displace lines about failed ones. A terminal or log
+	// collector easily keeps up with the sum of both.
+	infoLinesPerSecond = 10
+	warnLinesPerSecond = 40
+	// maxQueuedLines limits the lines that are queued while the writer blocks.
+	maxQueuedLines = 256
 )
 
-// Formatter writes entries in some form.
+// Formatter returns a handler that writes formatted entries to w.
 type Formatter func(w io.Writer) log.Handler
 
-// RateLimitedHandler is a handler of logs that never blocks and writes a bounded number of
-// lines a second. What it drops is counted and said in one line.
+// RateLimitedHandler is a log handler that never blocks and limits the lines per
+// second. It counts the lines that it drops and reports their number in one line
+// of a later second. It is safe for concurrent use.
 type RateLimitedHandler struct {
 	format log.Handler
 	line   bytes.Buffer
 	queue  chan []byte
 
-	mu      sync.Mutex
-	second  int64
-	info    int
-	warn    int
+	mu sync.Mutex
+	// second is the second of the last entry in Unix time; info and warn count
+	// the entries of that second.
+	second int64
+	info   int
+	warn   int
+	// dropped counts the dropped lines that were not reported yet.
 	dropped int
-	total   uint64
+	// total counts all dropped lines.
+	total uint64
 }
 
-// NewRateLimitedHandler returns a handler that formats entries. Run writes them.
+// NewRateLimitedHandler returns a handler that formats and queues entries. Run
+// writes them.
 func NewRateLimitedHandler(format Formatter) *RateLimitedHandler {
-	b := &RateLimitedHandler{queue: make(chan []byte, queuedLines)}
-	b.format = format(&b.line)
-	return b
+	h := &RateLimitedHandler{queue: make(chan []byte, maxQueuedLines)}
+	h.format = format(&h.line)
+	return h
 }
 
-// HandleLog takes an entry if the budget of this second allows.
-func (b *RateLimitedHandler) HandleLog(e *log.Entry) error {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if second := e.Timestamp.Unix(); second != b.second {
-		b.second, b.info, b.warn = second, 0, 0
-		b.report(e)
+// HandleLog queues an entry, or drops it if the limit of this second is reached
+// or the queue is full. Its error is that of the formatter.
+func (h *RateLimitedHandler) HandleLog(e *log.Entry) error {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if second := e.Timestamp.Unix(); second != h.second {
+		h.second, h.info, h.warn = second, 0, 0
+		h.reportDropped(e)
 	}
-	if !b.allows(e.Level) {
-		b.drop()
+	if !h.allows(e.Level) {
+		h.drop()
 		return nil
 	}
-	return b.write(e)
+	return h.write(e)
 }
 
-func (b *RateLimitedHandler) allows(level log.Level) bool {
+// allows counts an entry and reports whether the limit of its level permits it.
+func (h *RateLimitedHandler) allows(level log.Level) bool {
 	if level >= log.WarnLevel {
-		b.warn++
-		return b.warn <= warnLines
+		h.warn++
+		return h.warn <= warnLinesPerSecond
 	}
-	b.info++
-	return b.info <= infoLines
+	h.info++
+	return h.info <= infoLinesPerSecond
 }
 
-func (b *RateLimitedHandler) drop() {
-	b.dropped++
-	b.total++
+func (h *RateLimitedHandler) drop() {
+	h.dropped++
+	h.total++
 }
 
-// report says how many lines the seconds before have lost.
-func (b *RateLimitedHandler) report(e *log.Entry) {
-	if b.dropped == 0 {
+// reportDropped queues a line with the number of lines dropped in earlier
+// seconds.
+func (h *RateLimitedHandler) reportDropped(e *log.Entry) {
+	if h.dropped == 0 {
 		return
 	}
-	lost := *e
-	lost.Level, lost.Fields = log.WarnLevel, log.Fields{"lines": b.dropped}
-	lost.Message = fmt.Sprintf("%d log lines dropped", b.dropped)
-	if b.write(&lost) == nil {
-		b.dropped = 0
+	summary := *e
+	summary.Level, summary.Fields = log.WarnLevel, log.Fields{"lines": h.dropped}
+	summary.Message = fmt.Sprintf("%d log lines dropped", h.dropped)
+	if h.write(&summary) == nil {
+		h.dropped = 0
 	}
 }
 
-// write formats an entry and queues it; the caller holds the lock.
-func (b *RateLimitedHandler) write(e *log.Entry) error {
-	b.line.Reset()
-	if err := b.format.HandleLog(e); err != nil {
+// write formats an entry and queues it. The caller must hold h.mu.
+func (h *RateLimitedHandler) write(e *log.Entry) error {
+	h.line.Reset()
+	if err := h.format.HandleLog(e); err != nil {
 		return err
 	}
 	select {
-	case b.queue <- bytes.Clone(b.line.Bytes()):
+	case h.queue <- bytes.Clone(h.line.Bytes()):
 	default:
-		b.drop()
+		h.drop()
 	}
 	return nil
 }
 
-// Dropped returns how many lines were dropped so far.
-func (b *RateLimitedHandler) Dropped() uint64 {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.total
+// Dropped returns the number of lines dropped so far.
+func (h *RateLimitedHandler) Dropped() uint64 {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.total
 }
 
-// flushTime bounds the writing of what waits when the program ends.
-const flushTime = 100 * time.Millisecond
+// flushTimeout limits how long queued lines are written at the end of a program.
+const flushTimeout = 100 * time.Millisecond
 
-// Run writes lines until the context ends, and then what still waits.
-func (b *RateLimitedHandler) Run(ctx context.Context, w io.Writer) {
+// Run writes queued lines to w until the context ends. It then writes the lines
+// that are still queued, for at most flushTimeout.
+func (h *RateLimitedHandler) Run(ctx context.Context, w io.Writer) {
 	for {
 		select {
-		case line := <-b.queue:
-			// A writer that fails has nowhere to say so.
+		case line := <-h.queue:
+			// A write error can't be reported, because the log is its only channel.
 			_, _ = w.Write(line)
 		case <-ctx.Done():
-			b.flush(w)
+			h.flush(w)
 			return
 		}
 	}
 }
 
-func (b *RateLimitedHandler) flush(w io.Writer) {
-	for end := time.Now().Add(flushTime); time.Now().Before(end); {
+func (h *RateLimitedHandler) flush(w io.Writer) {
+	for end := time.Now().Add(flushTimeout); time.Now().Before(end); {
 		select {
-		case line := <-b.queue:
+		case line := <-h.queue:
 			_, _ = w.Write(line)
 		default:
 			return
--- a/wharf/wharfcli/ratelimit_test.go
+++ b/wharf/wharfcli/ratelimit_test.go
@@ -15,43 +15,47 @@
 
 func newJSON(w io.Writer) log.Handler { return json.New(w) }
 
-// TestFloodIsBounded floods the log while nothing drains it. No call waits,
-// warnings keep their part, and the loss is said.
-func TestFloodIsBounded(t *testing.T) {
+// TestLogFloodIsRateLimited guards against a flood of entries that blocks the
+// callers or displaces the warnings. It logs far more entries in one second than
+// the limits while Run doesn't write any. No call may wait, each level must keep
+// its limit, and the number of dropped lines must be reported.
+func TestLogFloodIsRateLimited(t *testing.T) {
 	is := is.New(t)
-	b := NewRateLimitedHandler(newJSON)
-	logger := &log.Logger{Handler: b, Level: log.InfoLevel}
+	h := NewRateLimitedHandler(newJSON)
+	logger := &log.Logger{Handler: h, Level: log.InfoLevel}
 	at := time.Unix(1000, 0)
 	flood := func(level log.Level, n int) {
 		for range n {
-			is.NoErr(b.HandleLog(&log.Entry{Logger: logger, Level: level, Message: "m", Timestamp: at}))
+			is.NoErr(h.HandleLog(&log.Entry{Logger: logger, Level: level, Message: "m", Timestamp: at}))
 		}
 	}
 	flood(log.InfoLevel, 5000)
 	flood(log.WarnLevel, 5000)
-	is.Equal(len(b.queue), infoLines+warnLines)
-	is.Equal(b.Dropped(), uint64(10000-infoLines-warnLines))
+	is.Equal(len(h.queue), infoLinesPerSecond+warnLinesPerSecond)
+	is.Equal(h.Dropped(), uint64(10000-infoLinesPerSecond-warnLinesPerSecond))
 	at = at.Add(time.Second)
 	flood(log.WarnLevel, 1)
 	var out bytes.Buffer
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	b.Run(ctx, &out)
+	h.Run(ctx, &out)
 	is.True(strings.Contains(out.String(), "9950 log lines dropped"))
-	is.Equal(strings.Count(out.String(), "\n"), infoLines+warnLines+2)
+	is.Equal(strings.Count(out.String(), "\n"), infoLinesPerSecond+warnLinesPerSecond+2)
 }
 
-// TestWriterThatBlocks keeps the callers going when the output stands still.
-func TestWriterThatBlocks(t *testing.T) {
+// TestBlockedWriterDoesNotBlockCallers guards against callers that wait for a
+// blocked output. It fills the queue without a writer; further lines must be
+// dropped.
+func TestBlockedWriterDoesNotBlockCallers(t *testing.T) {
 	is := is.New(t)
-	b := NewRateLimitedHandler(newJSON)
-	logger := &log.Logger{Handler: b, Level: log.InfoLevel}
+	h := NewRateLimitedHandler(newJSON)
+	logger := &log.Logger{Handler: h, Level: log.InfoLevel}
 	for second := range 100 {
-		for range warnLines {
+		for range warnLinesPerSecond {
 			e := &log.Entry{Logger: logger, Level: log.ErrorLevel, Message: "m", Timestamp: time.Unix(int64(second), 0)}
-			is.NoErr(b.HandleLog(e))
+			is.NoErr(h.HandleLog(e))
 		}
 	}
-	is.Equal(len(b.queue), queuedLines)
-	is.True(b.Dropped() >= uint64(100*warnLines-queuedLines))
+	is.Equal(len(h.queue), maxQueuedLines)
+	is.True(h.Dropped() >= uint64(100*warnLinesPerSecond-maxQueuedLines))
 }
--- a/wharf/wharfcli/run.go
+++ b/wharf/wharfcli/run.go
@@ -7,8 +7,8 @@
 	"syscall"
 )
 
-// Run runs a program of several commands with the arguments and streams of the
-// process, until it ends or a signal asks it to, and returns the exit code.
+// Run runs a program with the arguments and output streams of the process and
+// returns its exit code. SIGTERM and SIGINT cancel the context of the command.
 func Run(name, description string, commands any, bind ...any) int {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
