--- a/wharf/internal/wharfpurity/doc.go
+++ b/wharf/internal/wharfpurity/doc.go
@@ -1,2 +1,3 @@
-// Package wharfpurity holds the test that keeps the decision packages pure.
+// Package wharfpurity holds the test that decision packages do no I/O, read no
+// clock and start no goroutine.
 package wharfpurity
--- a/wharf/internal/wharfseed/seed.go
+++ b/wharf/internal/wharfseed/seed.go
@@ -3,7 +3,7 @@
 import (
 	"flag"
 
-	// The import registers the flag before it is set.
+	// The import registers the flag, so that init can set it.
 	_ "pgregory.net/rapid"
 )
 
--- a/wharf/wharfsocket/doc.go
+++ b/wharf/wharfsocket/doc.go
@@ -1,3 +1,3 @@
-// Package wharfsocket sets the options of sockets, so that a peer that went
-// silent is noticed in seconds.
+// Package wharfsocket sets socket options so that an unresponsive peer is
+// detected within seconds.
 package wharfsocket
--- a/wharf/wharfsocket/socket.go
+++ b/wharf/wharfsocket/socket.go
@@ -10,37 +10,41 @@
 )
 
 const (
-	// probeIdle, probeInterval and probeCount find a peer that went silent while
-	// a request waits, in about two seconds. A host that lives answers a probe
-	// in less than the interval even between regions.
+	// probeIdle, probeInterval and probeCount configure TCP keep-alive. A peer
+	// that stops responding while a request waits is detected within about two
+	// seconds. A live host responds to a probe in less than the interval, even
+	// between regions.
 	probeIdle     = time.Second
 	probeInterval = 500 * time.Millisecond
 	probeCount    = 2
-	// unackedTimeout ends a connection whose bytes aren't acknowledged.
+	// unackedTimeout is the TCP user timeout: the kernel closes a connection if
+	// sent bytes stay unacknowledged for this long.
 	unackedTimeout = 2 * time.Second
 )
 
-// keepAlive is how idle connections are probed.
+// keepAlive configures the probes on idle connections.
 var keepAlive = net.KeepAliveConfig{Enable: true, Idle: probeIdle, Interval: probeInterval, Count: probeCount}
 
-// control sets the options of a socket that has no setting in package net.
+// control sets the socket option for which package net has no setting.
 func control(_, _ string, c syscall.RawConn) error {
-	var fault error
+	var optionErr error
 	err := c.Control(func(fd uintptr) {
-		fault = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unackedTimeout.Milliseconds()))
+		optionErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unackedTimeout.Milliseconds()))
 	})
 	if err != nil {
 		return err
 	}
-	return fault
+	return optionErr
 }
 
-// Dialer returns how connections are set up that last.
+// Dialer returns a dialer for long-lived connections, with a timeout for the
+// connection setup.
 func Dialer(timeout time.Duration) *net.Dialer {
 	return &net.Dialer{Timeout: timeout, KeepAliveConfig: keepAlive, Control: control}
 }
 
-// CanConnect reports whether an address takes a connection in a time.
+// CanConnect reports whether the address accepts a TCP connection within the
+// timeout. It closes the connection at once.
 func CanConnect(ctx context.Context, address string, timeout time.Duration) bool {
 	conn, err := (&net.Dialer{Timeout: timeout}).DialContext(ctx, "tcp", address)
 	if err != nil {
@@ -50,7 +54,7 @@
 	return true
 }
 
-// ListenConfig returns how a node listens.
+// ListenConfig returns the configuration of a node's listeners.
 func ListenConfig() *net.ListenConfig {
 	return &net.ListenConfig{Control: control, KeepAliveConfig: keepAlive}
 }
--- a/wharf/wharfstream/doc.go
+++ b/wharf/wharfstream/doc.go
@@ -1,6 +1,6 @@
 // Package wharfstream defines the records of the platform's append-only log
 // and the errors that its clients report.
 //
-// It is pure. wharflog implements the clients; wharfconfig, wharfidempotency and
-// wharfstate fold the records.
+// It does no I/O and reads no clock. wharflog implements the client; wharfstate
+// applies the records.
 package wharfstream
--- a/wharf/wharftimer/doc.go
+++ b/wharf/wharftimer/doc.go
@@ -1,3 +1,3 @@
-// Package wharftimer holds the waits that all programs share. Decision packages
-// don't use it: they get their times from outside.
+// Package wharftimer holds the waiting functions that all programs share.
+// Decision packages don't use it: they take times as arguments.
 package wharftimer
--- a/wharf/wharftimer/sleep.go
+++ b/wharf/wharftimer/sleep.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// Sleep waits, and reports false when the context ends first.
+// Sleep waits for d and returns true. If the context ends first, it returns
+// false at once.
 func Sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
