--- a/wharfnode/internal/wharfproxy/attempt.go
+++ b/wharfnode/internal/wharfproxy/attempt.go
@@ -16,63 +16,74 @@
 	"ragwortwharf.dev/wharfnode/internal/wharftransport"
 )
 
-// attemptResult is what one attempt showed.
+// attemptResult describes how one attempt ended.
 type attemptResult struct {
 	outcome wharfoutcome.Outcome
-	// answered says that the caller has got the answer.
-	answered bool
-	// sent says that the node may have received the attempt.
+	// delivered is true if the caller received the response.
+	delivered bool
+	// sent is true if the node may have received the attempt.
 	sent bool
-	// arrived says that the target received the attempt, or may have.
+	// arrived is true if the target received the attempt, or may have received
+	// it.
 	arrived bool
-	// lost says that the node took the attempt and its answer didn't come.
-	lost         bool
-	retried      bool
+	// responseLost is true if the node received the attempt, or may have, and
+	// its response did not arrive.
+	responseLost bool
+	// retried is true if a downstream hop has already retried this failure.
+	retried bool
+	// attemptsLeft is the number of delegated attempts that the node returned.
 	attemptsLeft int
-	routing      wharfrouting.Result
-	latency      time.Duration
-	report       *wharfrouting.LoadReport
+	// routing is what the attempt means to the balancer.
+	routing wharfrouting.Result
+	latency time.Duration
+	// report is the load report of the target, nil if the node sent none.
+	report *wharfrouting.LoadReport
 }
 
-// attempt sends a request to one target and passes its answer on.
-func (e *Proxy) attempt(c *call, target wharfrouting.Target, attempts int) attemptResult {
+// attempt sends a request to one target, with the given number of attempts
+// delegated to it, and forwards the response. It measures the latency.
+func (p *Proxy) attempt(c *call, target wharfrouting.Target, attempts int) attemptResult {
 	started := time.Now()
-	result := e.exchange(c, target, attempts)
+	result := p.exchange(c, target, attempts)
 	result.latency = time.Since(started)
 	return result
 }
 
-func (e *Proxy) exchange(c *call, target wharfrouting.Target, attempts int) attemptResult {
-	watch := e.Transport.Monitor(target.NodeAddress)
-	if watch.Unresponsive() {
-		return notSent(wharfoutcome.ReasonUnreachable, wharfrouting.Unreachable)
+// exchange makes the call to the target's node. It fails at once if the node is
+// known to be unresponsive.
+func (p *Proxy) exchange(c *call, target wharfrouting.Target, attempts int) attemptResult {
+	monitor := p.Transport.Monitor(target.NodeAddress)
+	if monitor.Unresponsive() {
+		return notSentResult(wharfoutcome.ReasonUnreachable, wharfrouting.Unreachable)
 	}
-	ctx, watched := watch.Begin(c.ctx)
-	defer watched.End()
+	ctx, monitored := monitor.Begin(c.ctx)
+	defer monitored.End()
 	x := &transfer{
-		entry: e, call: c, target: target, ctx: ctx, monitored: watched,
-		stream: e.Transport.Open(ctx, target.NodeAddress), head: e.head(c, target, attempts),
+		proxy: p, call: c, target: target, ctx: ctx, monitored: monitored,
+		stream: p.Transport.Open(ctx, target.NodeAddress), head: p.head(c, target, attempts),
 	}
 	if err := x.begin(); err != nil {
-		return x.broken(err)
+		return x.failedResult(err)
 	}
 	return x.receive()
 }
 
-// notSent is the result of an attempt that never left this node.
-func notSent(reason wharfoutcome.Reason, routing wharfrouting.Result) attemptResult {
+// notSentResult returns the result of an attempt that never left this node.
+func notSentResult(reason wharfoutcome.Reason, routing wharfrouting.Result) attemptResult {
 	return attemptResult{outcome: wharfoutcome.Refuse(reason), routing: routing}
 }
 
-// cause says why the context of a request ended.
-func (e *Proxy) cause(c *call) wharfoutcome.Reason {
+// endReason returns the reason why the context of a request ended: the deadline
+// passed, or the caller cancelled the request before it.
+func (p *Proxy) endReason(c *call) wharfoutcome.Reason {
 	if time.Now().Before(c.deadline) {
 		return wharfoutcome.ReasonCancelled
 	}
 	return wharfoutcome.ReasonDeadline
 }
 
-func (e *Proxy) head(c *call, target wharfrouting.Target, attempts int) *wharfwire.CallHead {
+// head returns the head of a call to the target.
+func (p *Proxy) head(c *call, target wharfrouting.Target, attempts int) *wharfwire.CallHead {
 	return &wharfwire.CallHead{
 		AttemptId:     rand.Uint64(),
 		RequestId:     c.requestID,
@@ -95,33 +106,35 @@
 		KeyMinted:     c.key == "",
 		Fingerprint:   uint64(c.fingerprint),
 		ContentLength: c.body.length,
-		StateOffset:   e.View.State().Offset(),
+		StateOffset:   p.View.State().Offset(),
 		Streams:       c.body.rest != nil,
 		Priority:      uint32(c.priority),
 	}
 }
 
-// refused is the result of an attempt that ended without an answer.
-func (x *transfer) refused(frame *wharfwire.AnswerFrame) attemptResult {
+// refusedResult returns the result of an attempt that ended without a response
+// of the target to forward.
+func (x *transfer) refusedResult(frame *wharfwire.AnswerFrame) attemptResult {
 	head := frame.GetHead()
 	result := attemptResult{
 		sent:    true,
 		arrived: head.GetArrived(),
 		retried: head.GetRetried(),
-		report:  reportOf(head),
+		report:  loadReport(head),
 		outcome: wharfoutcome.Outcome{
 			Kind:       wharfoutcome.Kind(head.GetOutcome()),
 			Reason:     wharfoutcome.Reason(head.GetReason()),
 			RetryAfter: time.Duration(head.GetRetryAfterMs()) * time.Millisecond,
 		},
 	}
-	result.routing = routingOf(result.outcome.Reason, wharfrouting.Refused)
+	result.routing = routingResult(result.outcome.Reason, wharfrouting.Refused)
 	result.attemptsLeft = int(frame.GetEnd().GetAttemptsLeft())
 	return result
 }
 
-// routingOf returns what a reason says of the target, or else what is given.
-func routingOf(reason wharfoutcome.Reason, otherwise wharfrouting.Result) wharfrouting.Result {
+// routingResult returns what the reason of a failure means to the balancer, or
+// fallback for all other reasons.
+func routingResult(reason wharfoutcome.Reason, fallback wharfrouting.Result) wharfrouting.Result {
 	switch reason {
 	case wharfoutcome.ReasonTargetCrashed, wharfoutcome.ReasonUnreachable:
 		return wharfrouting.TargetFailed
@@ -130,11 +143,12 @@
 	case wharfoutcome.ReasonAnswerLost, wharfoutcome.ReasonAnswerIncomplete:
 		return wharfrouting.ResponseLost
 	default:
-		return otherwise
+		return fallback
 	}
 }
 
-func reportOf(head *wharfwire.AnswerHead) *wharfrouting.LoadReport {
+// loadReport returns the load report in the head of a response, or nil.
+func loadReport(head *wharfwire.AnswerHead) *wharfrouting.LoadReport {
 	l := head.GetLoad()
 	if l == nil {
 		return nil
@@ -152,28 +166,28 @@
 	}
 }
 
-// broken is the result of an attempt whose stream failed. What became of the
-// request isn't known, unless the node can be asked.
-func (x *transfer) broken(err error) attemptResult {
-	result := attemptResult{sent: true, arrived: true, lost: true, routing: wharfrouting.Unreachable}
+// failedResult returns the result of an attempt whose stream failed. Whether the
+// request ran is unknown, unless the node can be asked.
+func (x *transfer) failedResult(err error) attemptResult {
+	result := attemptResult{sent: true, arrived: true, responseLost: true, routing: wharfrouting.Unreachable}
 	c := x.call
 	if !x.stream.Sent() {
-		return x.neverSent()
+		return x.connectFailedResult()
 	}
 	if c.ctx.Err() != nil || errors.Is(err, context.DeadlineExceeded) {
-		result.lost = false
+		result.responseLost = false
 		result.routing = wharfrouting.Cancelled
-		result.outcome = wharfoutcome.Uncertain(x.entry.cause(c))
+		result.outcome = wharfoutcome.Uncertain(x.proxy.endReason(c))
 		return result
 	}
 	result.outcome = wharfoutcome.Uncertain(wharfoutcome.ReasonAnswerLost)
 	if errors.Is(context.Cause(x.ctx), wharfliveness.ErrUnresponsive) {
-		// Asking the node what became of the request would take as long again.
+		// A query to the unresponsive node would take just as long to fail.
 		return result
 	}
-	var broken *wharftransport.AbortedError
-	if errors.As(err, &broken) {
-		return brokenOff(broken.Reason)
+	var aborted *wharftransport.AbortedError
+	if errors.As(err, &aborted) {
+		return abortedResult(aborted.Reason)
 	}
 	if !c.policy.Idempotent && c.key == "" {
 		result.outcome = x.resolve(result.outcome)
@@ -181,37 +195,39 @@
 	return result
 }
 
-// neverSent is the result of an attempt that found no connection.
-func (x *transfer) neverSent() attemptResult {
+// connectFailedResult returns the result of an attempt that got no connection to
+// the node.
+func (x *transfer) connectFailedResult() attemptResult {
 	if x.call.ctx.Err() != nil {
-		return notSent(x.entry.cause(x.call), wharfrouting.Cancelled)
+		return notSentResult(x.proxy.endReason(x.call), wharfrouting.Cancelled)
 	}
-	return notSent(wharfoutcome.ReasonUnreachable, wharfrouting.Unreachable)
+	return notSentResult(wharfoutcome.ReasonUnreachable, wharfrouting.Unreachable)
 }
 
-// brokenOff is the result of an attempt whose answer the target's node ended
-// early, for a reason.
-func brokenOff(reason wharfoutcome.Reason) attemptResult {
+// abortedResult returns the result of an attempt whose response the target's
+// node aborted for the given reason.
+func abortedResult(reason wharfoutcome.Reason) attemptResult {
 	return attemptResult{
-		sent: true, arrived: true, lost: true,
-		routing: routingOf(reason, wharfrouting.Cancelled), outcome: wharfoutcome.Uncertain(reason),
+		sent: true, arrived: true, responseLost: true,
+		routing: routingResult(reason, wharfrouting.Cancelled), outcome: wharfoutcome.Uncertain(reason),
 	}
 }
 
-// resolveTimeout bounds the question about a lost answer.
+// resolveTimeout bounds the query about a lost response.
 const resolveTimeout = 500 * time.Millisecond
 
-// resolve asks the node of a minted key what became of it. If the request has
-// not been dispatched there, asking closes the key, and then it has not run.
+// resolve asks the target's node about the generated key of the attempt. The
+// query closes the key: if the request has not been dispatched yet, it never
+// will be, and the outcome is that it did not run.
 func (x *transfer) resolve(o wharfoutcome.Outcome) wharfoutcome.Outcome {
 	ctx, cancel := context.WithTimeout(x.call.ctx, resolveTimeout)
 	defer cancel()
-	member, ok := x.entry.View.Member(x.target.Node)
+	member, ok := x.proxy.View.Member(x.target.Node)
 	if !ok {
 		return o
 	}
 	owner := wharfidempotency.Owner{Node: member.Node, Incarnation: member.Incarnation, Address: member.Address}
-	entry, err := x.entry.Consulter.Consult(ctx, owner, wharftarget.GeneratedKey(x.head.GetAttemptId()))
+	entry, err := x.proxy.Consulter.Consult(ctx, owner, wharftarget.GeneratedKey(x.head.GetAttemptId()))
 	if err == nil && entry.State == wharfidempotency.Absent {
 		return wharfoutcome.Refuse(wharfoutcome.ReasonAnswerLost)
 	}
--- a/wharfnode/internal/wharfproxy/body.go
+++ b/wharfnode/internal/wharfproxy/body.go
@@ -11,23 +11,26 @@
 	"ragwortwharf.dev/wharf/wharfquarantine"
 )
 
-// maxBufferedBody is how much of a body is kept for a second attempt, in bytes. A
-// longer body is streamed and sent once.
+// maxBufferedBody is how much of a request body is buffered for further
+// attempts, in bytes. A longer body is streamed and can be sent only once.
 const maxBufferedBody = 64 << 10
 
-// body is the body of a request: the part that is kept, and the rest that
-// still comes from the caller.
+// body is the body of a request: a buffered prefix, and the rest that is still
+// to be read from the caller.
 type body struct {
 	prefix []byte
-	rest   io.Reader
+	// rest is nil if the prefix is the whole body.
+	rest io.Reader
+	// length is the Content-Length of the request in bytes, -1 if unknown.
 	length int64
-	// restSent says that the rest was given to an attempt.
+	// restSent is true once an attempt has begun to send the rest.
 	restSent bool
 }
 
-// readBody reads the part of the body that is kept, and finds out whether a
-// short body is complete before anything is sent.
-func (e *Proxy) readBody(c *call) (wharfoutcome.Outcome, bool) {
+// readBody buffers the prefix of the body. A body that is shorter than the
+// buffer is read to its end, so that an incomplete one is refused before
+// anything is sent.
+func (p *Proxy) readBody(c *call) (wharfoutcome.Outcome, bool) {
 	c.body.length = c.r.ContentLength
 	if c.r.Body != nil && c.r.Body != http.NoBody {
 		prefix, err := io.ReadAll(io.LimitReader(c.r.Body, maxBufferedBody))
@@ -43,6 +46,8 @@
 	return wharfoutcome.Outcome{}, true
 }
 
+// bodyErrorReason returns the reason for an error while reading the body: the
+// body was incomplete, or the caller disconnected.
 func bodyErrorReason(err error) wharfoutcome.Reason {
 	if errors.Is(err, io.ErrUnexpectedEOF) {
 		return wharfoutcome.ReasonBodyIncomplete
@@ -50,7 +55,9 @@
 	return wharfoutcome.ReasonCancelled
 }
 
-// fingerprintOf identifies a request by what its target gets to see.
+// fingerprintOf hashes what the target receives of a request: service, method,
+// URI and the buffered prefix of the body. Resends of a request have the same
+// fingerprint.
 func fingerprintOf(c *call) wharfquarantine.Fingerprint {
 	d := xxhash.New()
 	for _, part := range []string{c.service, c.r.Method, c.r.URL.RequestURI()} {
--- a/wharfnode/internal/wharfproxy/classify.go
+++ b/wharfnode/internal/wharfproxy/classify.go
@@ -9,13 +9,14 @@
 	"ragwortwharf.dev/wharf/wharfoutcome"
 )
 
-// classify decides how the request is treated.
-func (e *Proxy) classify(c *call) (wharfoutcome.Outcome, bool) {
+// classify sets the policy, priority and grant of the request. If the caller
+// named no service, the route table determines the service.
+func (p *Proxy) classify(c *call) (wharfoutcome.Outcome, bool) {
 	if c.service == "" {
-		if reason := e.route(c); reason != wharfoutcome.ReasonNone {
+		if reason := p.route(c); reason != wharfoutcome.ReasonNone {
 			return wharfoutcome.Refuse(reason).WithRetryAfter(unconfiguredRetryAfter), false
 		}
-	} else if !e.classifyService(c) {
+	} else if !p.classifyService(c) {
 		return wharfoutcome.Refuse(wharfoutcome.ReasonUnknownService), false
 	}
 	c.priority = wharfadmission.PriorityOf(c.policy.Class.Rank, xxhash.Sum64String(c.requestID))
@@ -25,19 +26,20 @@
 	return wharfoutcome.Outcome{}, true
 }
 
-// classifyService decides by the labels of a service that the caller named. It
-// is false for a service that nobody knows.
-func (e *Proxy) classifyService(c *call) bool {
-	config := e.View.Config()
-	if !config.HasService(c.service) && !e.routes.known(e.View, c.service) {
+// classifyService sets the policy from the configuration of the service that the
+// caller named. It returns false if the service is neither configured nor
+// announced by a target.
+func (p *Proxy) classifyService(c *call) bool {
+	config := p.View.Config()
+	if !config.HasService(c.service) && !p.services.known(p.View, c.service) {
 		return false
 	}
 	c.policy = config.Classify(wharfconfig.RequestAttributes{
 		Service: c.service, Method: c.r.Method, Path: c.r.URL.Path, Caller: c.caller,
 	})
 	if c.parent.Class != "" {
-		// A call made for a user request has the class of that request, so
-		// that the request gets the same verdict at each hop.
+		// A call made to serve a client request has the class of that request,
+		// so that every hop makes the same admission decision for it.
 		c.policy.Class = config.Class(c.parent.Class)
 	}
 	return true
--- a/wharfnode/internal/wharfproxy/deadline.go
+++ b/wharfnode/internal/wharfproxy/deadline.go
@@ -6,9 +6,10 @@
 	"ragwortwharf.dev/wharf/wharfoutcome"
 )
 
-// setDeadline decides when the request has to end: what the caller asks for,
-// within what is configured and what is left of the call it is made for.
-func (e *Proxy) setDeadline(c *call) (wharfoutcome.Outcome, bool) {
+// setDeadline sets the deadline of the request: the timeout that the caller asks
+// for, up to the configured maximum, or else the configured timeout. The
+// deadline is never later than that of the parent call.
+func (p *Proxy) setDeadline(c *call) (wharfoutcome.Outcome, bool) {
 	timeout := c.policy.Timeout
 	if c.hints.Timeout > 0 {
 		timeout = min(c.hints.Timeout, c.policy.MaxTimeout)
--- a/wharfnode/internal/wharfproxy/explain.go
+++ b/wharfnode/internal/wharfproxy/explain.go
@@ -8,8 +8,8 @@
 	"ragwortwharf.dev/wharfnode/wharfevents"
 )
 
-// fields are what each line on a request says.
-func (e *Proxy) fields(c *call) []wharfevents.Field {
+// requestFields returns the fields that every log line about a request has.
+func (p *Proxy) requestFields(c *call) []wharfevents.Field {
 	return []wharfevents.Field{
 		{Name: "request", Value: c.requestID},
 		{Name: "route", Value: c.route()},
@@ -20,26 +20,26 @@
 	}
 }
 
-// logServed writes the line of a request that has its answer.
-func (e *Proxy) logServed(c *call, target wharfrouting.Target, status int) {
-	if !e.Log.Enabled(wharfevents.RequestServed) {
+// logServed logs a request whose response was delivered.
+func (p *Proxy) logServed(c *call, target wharfrouting.Target, status int) {
+	if !p.Log.Enabled(wharfevents.RequestServed) {
 		return
 	}
-	e.Log.Emit(wharfevents.RequestServed, append(e.fields(c),
+	p.Log.Emit(wharfevents.RequestServed, append(p.requestFields(c),
 		wharfevents.Field{Name: "target", Value: target.Address},
 		wharfevents.Field{Name: "node", Value: target.Node},
 		wharfevents.Field{Name: "status", Value: status},
 		wharfevents.Field{Name: "tries", Value: c.tries})...)
 }
 
-// logUnserved writes the line of a request that ended without an answer,
-// with the versions of what decided it.
-func (e *Proxy) logUnserved(c *call, o wharfoutcome.Outcome) {
-	if !e.Log.Enabled(wharfevents.RequestUnserved) {
+// logUnserved logs a request that ended without a response of a target, with the
+// versions of the routes and the state that were used.
+func (p *Proxy) logUnserved(c *call, o wharfoutcome.Outcome) {
+	if !p.Log.Enabled(wharfevents.RequestUnserved) {
 		return
 	}
-	state := e.View.State()
-	e.Log.Emit(wharfevents.RequestUnserved, append(e.fields(c),
+	state := p.View.State()
+	p.Log.Emit(wharfevents.RequestUnserved, append(p.requestFields(c),
 		wharfevents.Field{Name: "host", Value: c.r.Host},
 		wharfevents.Field{Name: "outcome", Value: o.Kind.String()},
 		wharfevents.Field{Name: "reason", Value: string(o.Reason)},
@@ -48,15 +48,15 @@
 		wharfevents.Field{Name: "deadline-ms", Value: c.deadline.Sub(c.started).Milliseconds()},
 		wharfevents.Field{Name: "routes-version", Value: state.Routes().Version()},
 		wharfevents.Field{Name: "state-offset", Value: state.Offset()},
-		wharfevents.Field{Name: "state-age-ms", Value: time.Since(e.View.ConfirmedAt()).Milliseconds()})...)
+		wharfevents.Field{Name: "state-age-ms", Value: time.Since(p.View.ConfirmedAt()).Milliseconds()})...)
 }
 
-// logAttempt writes the line of an attempt that brought no answer.
-func (e *Proxy) logAttempt(c *call, target wharfrouting.Target, r attemptResult) {
-	if !e.Log.Enabled(wharfevents.AttemptFailed) {
+// logAttempt logs an attempt without a response.
+func (p *Proxy) logAttempt(c *call, target wharfrouting.Target, r attemptResult) {
+	if !p.Log.Enabled(wharfevents.AttemptFailed) {
 		return
 	}
-	e.Log.Emit(wharfevents.AttemptFailed, append(e.fields(c),
+	p.Log.Emit(wharfevents.AttemptFailed, append(p.requestFields(c),
 		wharfevents.Field{Name: "target", Value: target.Address},
 		wharfevents.Field{Name: "node", Value: target.Node},
 		wharfevents.Field{Name: "outcome", Value: r.outcome.Kind.String()},
--- a/wharfnode/internal/wharfproxy/grant.go
+++ b/wharfnode/internal/wharfproxy/grant.go
@@ -6,63 +6,67 @@
 	"ragwortwharf.dev/wharf/wharfbudget"
 )
 
-// grant is where the attempts of a request come from.
+// grant is the source of the attempts of a request.
 type grant interface {
-	// take spends one attempt and returns the part handed down.
-	take() (handedDown int, ok bool)
-	// refundUnused returns what the answer brought back.
-	refundUnused(handedDown, returned int)
-	// refund takes back an attempt that was never sent.
-	refund(handedDown int)
-	// begin and end frame the request and record what it has met.
+	// take spends one attempt and returns how many more are delegated to the
+	// target's node. It returns false if no attempt is left.
+	take() (delegated int, ok bool)
+	// refundUnused adds the delegated attempts that the node returned unused.
+	refundUnused(delegated, returned int)
+	// refund takes back an attempt that was never sent, and what was delegated
+	// with it.
+	refund(delegated int)
+	// begin and end record the start and the result of the request for the call
+	// that it is made for.
 	begin()
-	end(m wharfbudget.DownstreamResult)
+	end(result wharfbudget.DownstreamResult)
 }
 
-// rootGrant is the grant of a user request that begins here.
+// rootGrant is the grant of a client request that enters at this node.
 type rootGrant struct {
 	grant wharfbudget.Grant
 }
 
-func (g *rootGrant) take() (handedDown int, ok bool) {
-	g.grant, handedDown, ok = g.grant.WithAttempt()
-	return handedDown, ok
+func (g *rootGrant) take() (delegated int, ok bool) {
+	g.grant, delegated, ok = g.grant.WithAttempt()
+	return delegated, ok
 }
 
-func (g *rootGrant) refundUnused(handedDown, returned int) {
-	g.grant = g.grant.WithReturned(handedDown, returned)
+func (g *rootGrant) refundUnused(delegated, returned int) {
+	g.grant = g.grant.WithReturned(delegated, returned)
 }
 
-func (g *rootGrant) refund(handedDown int) {
-	g.grant = g.grant.WithRefund(handedDown)
+func (g *rootGrant) refund(delegated int) {
+	g.grant = g.grant.WithRefund(delegated)
 }
 
 func (g *rootGrant) begin() {}
 
 func (g *rootGrant) end(wharfbudget.DownstreamResult) {}
 
-// ledgerGrant is the grant of a call that the service on this VM serves.
+// ledgerGrant takes the attempts of a call that the service on this VM makes
+// from the grant of its parent call.
 type ledgerGrant struct {
 	ledger *wharfbudget.Ledger
 	id     wharfbudget.GrantID
 }
 
-func (g *ledgerGrant) take() (handedDown int, ok bool) {
+func (g *ledgerGrant) take() (delegated int, ok bool) {
 	return g.ledger.Take(g.id)
 }
 
-func (g *ledgerGrant) refundUnused(handedDown, returned int) {
-	g.ledger.Return(g.id, handedDown, returned)
+func (g *ledgerGrant) refundUnused(delegated, returned int) {
+	g.ledger.Return(g.id, delegated, returned)
 }
 
-func (g *ledgerGrant) refund(handedDown int) {
-	g.ledger.Refund(g.id, handedDown)
+func (g *ledgerGrant) refund(delegated int) {
+	g.ledger.Refund(g.id, delegated)
 }
 
 func (g *ledgerGrant) begin() {
 	g.ledger.CallBegins(time.Now(), g.id)
 }
 
-func (g *ledgerGrant) end(m wharfbudget.DownstreamResult) {
-	g.ledger.CallEnds(time.Now(), g.id, m)
+func (g *ledgerGrant) end(result wharfbudget.DownstreamResult) {
+	g.ledger.CallEnds(time.Now(), g.id, result)
 }
--- a/wharfnode/internal/wharfproxy/identify.go
+++ b/wharfnode/internal/wharfproxy/identify.go
@@ -10,18 +10,18 @@
 	"ragwortwharf.dev/wharf/wharfwire"
 )
 
-// identify finds out which service is called, by whom, and on behalf of which
-// user request.
-func (e *Proxy) identify(c *call) (wharfoutcome.Outcome, bool) {
-	said, reason := e.Protocol.Identify(c.r)
-	c.hints, c.service, c.caller, c.key = said, said.Service, said.Caller, said.Key
+// identify finds out which service is called, by which caller, and for which
+// client request.
+func (p *Proxy) identify(c *call) (wharfoutcome.Outcome, bool) {
+	hints, reason := p.Protocol.Identify(c.r)
+	c.hints, c.service, c.caller, c.key = hints, hints.Service, hints.Caller, hints.Key
 	if reason != wharfoutcome.ReasonNone {
 		return wharfoutcome.Refuse(reason), false
 	}
-	if said.Context != "" {
-		return e.continueRequest(c, said.Context)
+	if hints.Context != "" {
+		return p.continueRequest(c, hints.Context)
 	}
-	c.requestID = said.ID
+	c.requestID = hints.ID
 	if c.requestID == "" {
 		id := uuid.New()
 		c.requestID = hex.EncodeToString(id[:])
@@ -29,23 +29,23 @@
 	return wharfoutcome.Outcome{}, true
 }
 
-// continueRequest ties a call of the service on this VM to the call that the
-// service is serving.
-func (e *Proxy) continueRequest(c *call, text string) (wharfoutcome.Outcome, bool) {
-	parsed, err := wharfwire.ParseContext(text)
+// continueRequest links a call made by the service on this VM to its parent, the
+// call that the service is serving.
+func (p *Proxy) continueRequest(c *call, encoded string) (wharfoutcome.Outcome, bool) {
+	parsed, err := wharfwire.ParseContext(encoded)
 	if err != nil {
 		return wharfoutcome.Refuse(wharfoutcome.ReasonMalformedContext), false
 	}
 	id := wharfbudget.GrantID(parsed.Grant)
-	served, ok := e.Ledger.Get(id)
-	if !ok || served.Request != parsed.RequestID {
-		// The call that this belongs to has ended or was never served here.
+	parent, ok := p.Ledger.Get(id)
+	if !ok || parent.Request != parsed.RequestID {
+		// The parent call has ended or was never served here.
 		return wharfoutcome.Refuse(wharfoutcome.ReasonAttemptsSpent), false
 	}
-	if served.Depth > wharfwire.MaxDepth {
+	if parent.Depth > wharfwire.MaxDepth {
 		return wharfoutcome.Refuse(wharfoutcome.ReasonDepthExceeded), false
 	}
-	c.requestID, c.depth, c.parent = served.Request, served.Depth, served
-	c.grant = &ledgerGrant{ledger: e.Ledger, id: id}
+	c.requestID, c.depth, c.parent = parent.Request, parent.Depth, parent
+	c.grant = &ledgerGrant{ledger: p.Ledger, id: id}
 	return wharfoutcome.Outcome{}, true
 }
--- a/wharfnode/internal/wharfproxy/proxy.go
+++ b/wharfnode/internal/wharfproxy/proxy.go
@@ -19,40 +19,42 @@
 	"ragwortwharf.dev/wharfnode/wharfsettings"
 )
 
-// consulter asks a node about a key, which closes it there.
+// consulter queries a node about a key, which closes the key on that node.
 type consulter interface {
 	Consult(ctx context.Context, owner wharfidempotency.Owner, id wharfidempotency.KeyID) (wharfidempotency.KeyEntry, error)
 }
 
-// delayObserver takes the wait that a call of a target here has met.
+// delayObserver records the queue delay of a call made by a target on this VM.
 type delayObserver interface {
 	Observe(wait time.Duration)
 }
 
-// Proxy is the caller's side of a node.
+// Proxy is the caller's side of a node. It is safe for concurrent use once its
+// exported fields are set.
 type Proxy struct {
 	View       *wharfview.View
 	Transport  *wharftransport.Client
 	Ledger     *wharfbudget.Ledger
 	Quarantine *wharfquarantine.List
 	Consulter  consulter
-	// Backpressure takes what the calls of the targets here meet.
+	// Backpressure records the queue delay of the calls made by the targets on
+	// this VM.
 	Backpressure delayObserver
 	Protocol     wharfprotocol.CallerProtocol
-	// RepeatLimit bounds how often requests reach targets beyond the first time.
+	// RepeatLimit limits how often requests reach a target more than once.
 	RepeatLimit wharfbudget.RepeatLimit
 	Variant     wharfsettings.Variant
 	Log         wharfevents.Log
 	Metrics     wharfevents.Metrics
 
-	routes       routes
+	services     serviceStates
 	roundRobins  roundRobins
 	retryBudget  wharfbudget.RetryBudget
 	safeRequests wharfquarantine.SafeSet
 	calls        atomic.Int64
 }
 
-// call is a request on its way through the filters.
+// call is the state of one request while it passes the filters.
 type call struct {
 	ctx      context.Context
 	w        http.ResponseWriter
@@ -60,6 +62,7 @@
 	started  time.Time
 	deadline time.Time
 
+	// hints holds what the caller's headers state about the request.
 	hints     wharfprotocol.Request
 	service   string
 	caller    string
@@ -68,18 +71,19 @@
 	depth     int
 	grant     grant
 	// parent is the call that the service on this VM was serving when it made
-	// this one.
+	// this one. It is zero for a client request.
 	parent   wharfbudget.ServedCall
 	policy   wharfconfig.Policy
 	priority wharfadmission.Priority
 	body     body
-	// tries counts the attempts that were sent.
+	// tries counts the attempts that were made.
 	tries int
-	// fingerprint identifies the request over its resends.
+	// fingerprint is the same for all resends of the request.
 	fingerprint wharfquarantine.Fingerprint
 }
 
-// route names the kind of request that admission levels are kept for.
+// route returns the name under which admission levels are kept: that of the
+// matching request document or route, or else the method.
 func (c *call) route() string {
 	if c.policy.Request != "" {
 		return c.policy.Request
@@ -87,11 +91,11 @@
 	return c.r.Method
 }
 
-// filter does one job on a request. It returns the outcome that ends the
-// request, or true to pass it on.
-type filter func(e *Proxy, c *call) (wharfoutcome.Outcome, bool)
+// filter does one step of the processing of a request. It returns true to pass
+// the request on, or false and the outcome that ends the request.
+type filter func(p *Proxy, c *call) (wharfoutcome.Outcome, bool)
 
-// filters lists the filters in their order.
+// filters lists the filters in the order in which they run.
 var filters = []filter{
 	(*Proxy).identify,
 	(*Proxy).classify,
@@ -101,38 +105,39 @@
 }
 
 // ServeHTTP serves one request of a caller or of the service on this VM.
-func (e *Proxy) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	e.calls.Add(1)
-	defer e.calls.Add(-1)
+func (p *Proxy) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	p.calls.Add(1)
+	defer p.calls.Add(-1)
 	c := &call{ctx: r.Context(), w: w, r: r, started: time.Now()}
 	for _, f := range filters {
-		if o, pass := f(e, c); !pass {
-			e.refuse(c, o)
+		if o, pass := f(p, c); !pass {
+			p.refuse(c, o)
 			return
 		}
 	}
 	ctx, cancel := context.WithDeadline(c.ctx, c.deadline)
 	defer cancel()
 	c.ctx = ctx
-	e.send(c)
+	p.send(c)
 }
 
-// refuse answers a request that ended without an answer of a target.
-func (e *Proxy) refuse(c *call, o wharfoutcome.Outcome) {
+// refuse logs and counts a request that ended without a response of a target,
+// and sends the outcome to the caller.
+func (p *Proxy) refuse(c *call, o wharfoutcome.Outcome) {
 	if status := o.HTTPStatus(); status >= http.StatusBadRequest && status < http.StatusInternalServerError {
-		e.Log.Emit(wharfevents.BadRequest,
+		p.Log.Emit(wharfevents.BadRequest,
 			wharfevents.Field{Name: "request", Value: c.requestID},
 			wharfevents.Field{Name: "reason", Value: string(o.Reason)},
 			wharfevents.Field{Name: "caller", Value: c.caller},
 			wharfevents.Field{Name: "service", Value: c.service})
 	} else {
-		e.logUnserved(c, o)
+		p.logUnserved(c, o)
 	}
-	e.Metrics.Call(c.policy.Class.Name, o, time.Since(c.started))
-	e.Protocol.Refuse(c.w, o)
+	p.Metrics.Call(c.policy.Class.Name, o, time.Since(c.started))
+	p.Protocol.Refuse(c.w, o)
 }
 
 // Calls returns the number of requests in flight.
-func (e *Proxy) Calls() int {
-	return int(e.calls.Load())
+func (p *Proxy) Calls() int {
+	return int(p.calls.Load())
 }
--- a/wharfnode/internal/wharfproxy/quarantine.go
+++ b/wharfnode/internal/wharfproxy/quarantine.go
@@ -7,31 +7,32 @@
 	"ragwortwharf.dev/wharf/wharfrouting"
 )
 
-// checkQuarantine refuses a request that crashes targets.
-func (e *Proxy) checkQuarantine(c *call) (wharfoutcome.Outcome, bool) {
-	left, refused := e.Quarantine.Quarantined(time.Now(), c.fingerprint)
-	if refused {
-		return wharfoutcome.Refuse(wharfoutcome.ReasonQuarantined).WithRetryAfter(left), false
+// checkQuarantine refuses a request that is quarantined because it crashes
+// targets.
+func (p *Proxy) checkQuarantine(c *call) (wharfoutcome.Outcome, bool) {
+	remaining, quarantined := p.Quarantine.Quarantined(time.Now(), c.fingerprint)
+	if quarantined {
+		return wharfoutcome.Refuse(wharfoutcome.ReasonQuarantined).WithRetryAfter(remaining), false
 	}
 	return wharfoutcome.Outcome{}, true
 }
 
-// exposureLimit bounds the targets that a request may run on until it is known to
-// crash none.
-func (s *sending) exposureLimit() wharfrouting.ExposureLimit {
-	e, fp := s.entry, s.call.fingerprint
-	suspicion, suspected := e.Quarantine.Suspicion(time.Now(), fp)
-	if !suspected && e.safeRequests.Has(fp) {
+// exposureLimit returns the limit on the targets that the request may run on.
+// The limit is zero, which allows all targets, once the request is known safe.
+func (s *attemptLoop) exposureLimit() wharfrouting.ExposureLimit {
+	p, fingerprint := s.proxy, s.call.fingerprint
+	suspicion, suspected := p.Quarantine.Suspicion(time.Now(), fingerprint)
+	if !suspected && p.safeRequests.Has(fingerprint) {
 		return wharfrouting.ExposureLimit{}
 	}
 	return wharfrouting.ExposureLimit{
-		Fingerprint: uint64(fp),
+		Fingerprint: uint64(fingerprint),
 		Crashed:     append(suspicion.Targets(), s.mayHaveCrashed...),
 	}
 }
 
-// markSafe remembers that a request has run without harm.
-func (e *Proxy) markSafe(c *call) {
-	e.safeRequests.Add(c.fingerprint)
-	_, _ = e.Quarantine.RecordSuccess(time.Now(), c.fingerprint)
+// markSafe records that the request completed without a crash.
+func (p *Proxy) markSafe(c *call) {
+	p.safeRequests.Add(c.fingerprint)
+	_, _ = p.Quarantine.RecordSuccess(time.Now(), c.fingerprint)
 }
--- a/wharfnode/internal/wharfproxy/respond.go
+++ b/wharfnode/internal/wharfproxy/respond.go
@@ -14,66 +14,71 @@
 	"ragwortwharf.dev/wharfnode/wharfevents"
 )
 
-// maxBufferedResponse is the size up to which an answer is held back until it is known
-// to be whole, in bytes. A longer one is streamed, and cut off so that the
-// caller notices if it doesn't come whole.
+// maxBufferedResponse is the size up to which a response is buffered until it is
+// known to be complete, in bytes. A longer response is streamed. If it is
+// truncated, the connection to the caller is aborted, so that the caller
+// notices.
 const maxBufferedResponse = 256 << 10
 
-var errSumMismatch = errors.New("length or checksum of the answer differ")
+var errSumMismatch = errors.New("length or checksum of the response does not match")
 
-// answer takes the body of an answer and passes it on.
-func (x *transfer) answer(frame *wharfwire.AnswerFrame) attemptResult {
+// deliver receives the body of a response and forwards it to the caller.
+func (x *transfer) deliver(frame *wharfwire.AnswerFrame) attemptResult {
 	head := frame.GetHead()
 	result := attemptResult{
 		sent: true, outcome: wharfoutcome.Done(),
-		routing: wharfrouting.Answered, report: reportOf(head),
+		routing: wharfrouting.Answered, report: loadReport(head),
 	}
 	if head.GetStatus() >= http.StatusInternalServerError {
-		// Such an answer comes quicker than a good one, and must not draw work.
+		// An error response arrives faster than a successful one. Its low
+		// latency must not attract requests to the target.
 		result.routing = wharfrouting.ResponseLost
 	}
-	held := answerBody{stream: x.stream}
-	for end, err := held.take(frame); ; end, err = held.next() {
+	buffered := responseBody{stream: x.stream}
+	for end, err := buffered.addFrame(frame); ; end, err = buffered.next() {
 		if err != nil {
-			return x.brokenAnswer(err, head)
+			return x.truncatedResult(err, head)
 		}
 		if end != nil {
 			result.attemptsLeft = int(end.GetAttemptsLeft())
-			x.writeHead(head, int64(held.Len()))
-			_, _ = x.call.w.Write(held.Bytes())
-			return x.delivered(result, int(head.GetStatus()))
+			x.writeHead(head, int64(buffered.Len()))
+			_, _ = x.call.w.Write(buffered.Bytes())
+			return x.recordDelivered(result, int(head.GetStatus()))
 		}
-		if held.Len() > maxBufferedResponse {
+		if buffered.Len() > maxBufferedResponse {
 			break
 		}
 	}
 	x.writeHead(head, head.GetContentLength())
-	if !x.streamOn(&held, &result) {
-		x.entry.Log.Emit(wharfevents.AnswerIncomplete, wharfevents.Field{Name: "target", Value: x.target.Address})
-		// The caller has a part already: breaking the connection off is the
-		// only way to tell it.
+	if !x.streamRest(&buffered, &result) {
+		x.proxy.Log.Emit(wharfevents.AnswerIncomplete, wharfevents.Field{Name: "target", Value: x.target.Address})
+		// The caller already has a part of the response. Aborting the connection
+		// is the only way to signal that the rest is missing.
 		panic(http.ErrAbortHandler)
 	}
-	return x.delivered(result, int(head.GetStatus()))
+	return x.recordDelivered(result, int(head.GetStatus()))
 }
 
-// answerBody collects the body of an answer from its frames.
-type answerBody struct {
+// responseBody collects the body of a response from its frames.
+type responseBody struct {
 	bytes.Buffer
 	stream wharftransport.Exchange
 	sum    wharfwire.BodySum
 }
 
-// next takes the next frame. The end is only returned if the body is whole.
-func (b *answerBody) next() (*wharfwire.AnswerEnd, error) {
+// next receives a frame and adds it.
+func (b *responseBody) next() (*wharfwire.AnswerEnd, error) {
 	frame, err := b.stream.Recv()
 	if err != nil {
 		return nil, err
 	}
-	return b.take(frame)
+	return b.addFrame(frame)
 }
 
-func (b *answerBody) take(frame *wharfwire.AnswerFrame) (*wharfwire.AnswerEnd, error) {
+// addFrame adds a frame to the body. It returns the end of the response only if
+// the length and the checksum of the body match, and errSumMismatch if they
+// don't.
+func (b *responseBody) addFrame(frame *wharfwire.AnswerFrame) (*wharfwire.AnswerEnd, error) {
 	b.sum.Add(frame.GetChunk())
 	_, _ = b.Write(frame.GetChunk())
 	end := frame.GetEnd()
@@ -83,29 +88,30 @@
 	return end, nil
 }
 
-// brokenAnswer is the result of an answer that ended before the caller got any
-// of it.
-func (x *transfer) brokenAnswer(err error, head *wharfwire.AnswerHead) attemptResult {
-	x.entry.Log.Emit(wharfevents.AnswerIncomplete,
+// truncatedResult returns the result of an attempt whose response was truncated
+// before the caller received any of it.
+func (x *transfer) truncatedResult(err error, head *wharfwire.AnswerHead) attemptResult {
+	x.proxy.Log.Emit(wharfevents.AnswerIncomplete,
 		wharfevents.Field{Name: "target", Value: x.target.Address},
 		wharfevents.ErrorField(err))
-	result := x.broken(err)
-	result.report = reportOf(head)
+	result := x.failedResult(err)
+	result.report = loadReport(head)
 	if result.outcome.Kind == wharfoutcome.Unknown && result.outcome.Reason == wharfoutcome.ReasonAnswerLost {
 		result.outcome.Reason = wharfoutcome.ReasonAnswerIncomplete
 	}
 	return result
 }
 
-// streamOn passes a long answer on and reports whether all of it arrived.
-func (x *transfer) streamOn(held *answerBody, result *attemptResult) bool {
+// streamRest forwards the rest of a long response and reports whether all of it
+// was delivered.
+func (x *transfer) streamRest(buffered *responseBody, result *attemptResult) bool {
 	flush := http.NewResponseController(x.call.w)
 	for {
-		if _, err := held.WriteTo(x.call.w); err != nil {
+		if _, err := buffered.WriteTo(x.call.w); err != nil {
 			return false
 		}
 		_ = flush.Flush()
-		end, err := held.next()
+		end, err := buffered.next()
 		if err != nil {
 			return false
 		}
@@ -113,32 +119,36 @@
 			continue
 		}
 		result.attemptsLeft = int(end.GetAttemptsLeft())
-		_, err = held.WriteTo(x.call.w)
+		_, err = buffered.WriteTo(x.call.w)
 		return err == nil
 	}
 }
 
+// writeHead sends the status and the headers of the response to the caller. A
+// negative length is unknown.
 func (x *transfer) writeHead(head *wharfwire.AnswerHead, length int64) {
 	h := x.call.w.Header()
 	wharfwire.UnpackHeaders(h, head.GetHeaders())
-	x.entry.Protocol.SetResponseHeaders(h)
+	x.proxy.Protocol.SetResponseHeaders(h)
 	if length >= 0 && bodyAllowed(x.call.r.Method, int(head.GetStatus())) {
 		h.Set("Content-Length", strconv.FormatInt(length, 10))
 	}
 	x.call.w.WriteHeader(int(head.GetStatus()))
 }
 
-// bodyAllowed reports whether an answer has a body by RFC 9110, so that its
-// length may be set from what arrived.
+// bodyAllowed reports whether RFC 9110 allows a body in the response, so that
+// Content-Length may be set from the length that was received.
 func bodyAllowed(method string, status int) bool {
 	return method != http.MethodHead && status >= http.StatusOK &&
 		status != http.StatusNoContent && status != http.StatusNotModified
 }
 
-func (x *transfer) delivered(result attemptResult, status int) attemptResult {
-	result.answered = true
+// recordDelivered counts and logs a delivered response and marks the result as
+// delivered.
+func (x *transfer) recordDelivered(result attemptResult, status int) attemptResult {
+	result.delivered = true
 	c := x.call
-	x.entry.Metrics.Call(c.policy.Class.Name, result.outcome, time.Since(c.started))
-	x.entry.logServed(c, x.target, status)
+	x.proxy.Metrics.Call(c.policy.Class.Name, result.outcome, time.Since(c.started))
+	x.proxy.logServed(c, x.target, status)
 	return result
 }
--- a/wharfnode/internal/wharfproxy/route.go
+++ b/wharfnode/internal/wharfproxy/route.go
@@ -12,18 +12,20 @@
 )
 
 const (
-	// refusedTries is how many targets may refuse a request, besides those that
-	// it may be sent to. A refusal costs one round trip between nodes.
+	// refusedTries is the number of attempts that may be refused, in addition
+	// to those at the targets that the request may be sent to. A refusal costs
+	// one round trip between nodes.
 	refusedTries = 3
-	// unconfiguredRetryAfter is the advice while no configuration is known. A
-	// node has one within a few round trips once it reaches the log or a peer.
+	// unconfiguredRetryAfter is the retry-after hint while this node has no
+	// configuration. A node gets one within a few round trips once it reaches
+	// the log or a peer.
 	unconfiguredRetryAfter = 500 * time.Millisecond
 )
 
-// route decides by the routes which service a request goes to and how it is
-// treated.
-func (e *Proxy) route(c *call) wharfoutcome.Reason {
-	table := e.View.State().Routes()
+// route sets the service and the policy of a request from the route that its
+// host and path match.
+func (p *Proxy) route(c *call) wharfoutcome.Reason {
+	table := p.View.State().Routes()
 	if table == nil {
 		return wharfoutcome.ReasonNotConfigured
 	}
@@ -31,11 +33,12 @@
 	if r == nil {
 		return wharfoutcome.ReasonUnknownRoute
 	}
-	c.service = e.roundRobins.next(r)
+	c.service = p.roundRobins.next(r)
 	c.policy = policyOf(r)
 	return wharfoutcome.ReasonNone
 }
 
+// policyOf returns the policy of the requests of a route.
 func policyOf(r *wharfroute.Route) wharfconfig.Policy {
 	return wharfconfig.Policy{
 		Request:    r.Name,
@@ -49,25 +52,27 @@
 	}
 }
 
-// roundRobins deals the requests of each route to its services. The zero roundRobins is
-// empty.
+// roundRobins distributes the requests of each route over its services by
+// weighted round robin. The zero roundRobins is empty and ready to use. It is
+// safe for concurrent use.
 type roundRobins struct {
 	routes sync.Map
 }
 
-// lockedRoundRobin is that of one route under its own lock.
+// lockedRoundRobin is the round robin of one route, guarded by mu.
 type lockedRoundRobin struct {
 	mu sync.Mutex
 	wharfroute.WeightedRoundRobin
 }
 
+// next returns the service for the next request of the route.
 func (s *roundRobins) next(r *wharfroute.Route) string {
 	if len(r.Services) == 1 {
 		return r.Services[0].Service
 	}
-	found, _ := s.routes.LoadOrStore(r.Name, &lockedRoundRobin{})
-	one := found.(*lockedRoundRobin)
-	one.mu.Lock()
-	defer one.mu.Unlock()
-	return one.Next(r)
+	value, _ := s.routes.LoadOrStore(r.Name, &lockedRoundRobin{})
+	roundRobin := value.(*lockedRoundRobin)
+	roundRobin.mu.Lock()
+	defer roundRobin.mu.Unlock()
+	return roundRobin.Next(r)
 }
--- a/wharfnode/internal/wharfproxy/routes.go
+++ b/wharfnode/internal/wharfproxy/routes.go
@@ -12,112 +12,123 @@
 	"ragwortwharf.dev/wharfnode/internal/wharfview"
 )
 
-// routes keeps one balancer for each service that was called from here. The
-// zero routes is empty.
-type routes struct {
-	services sync.Map
+// serviceStates holds the state of each service that was called through this
+// node. The zero serviceStates is empty and ready to use. It is safe for
+// concurrent use.
+type serviceStates struct {
+	states sync.Map
 }
 
-// route is the balancer of a service under its own lock.
-type route struct {
+// serviceState holds the balancer and the repeat counter of one service, both
+// guarded by mu.
+type serviceState struct {
 	service  string
 	mu       sync.Mutex
 	balancer *wharfrouting.Balancer
 	repeats  wharfbudget.RepeatCounter
-	version  uint64
-	loaded   bool
+	// version is the version of the view whose targets the balancer has, valid
+	// if loaded is true.
+	version uint64
+	loaded  bool
 }
 
-func (s *routes) get(v *wharfview.View, service string) *route {
-	if r, ok := s.services.Load(service); ok {
-		return r.(*route)
+// get returns the state of a service and creates it if necessary.
+func (s *serviceStates) get(v *wharfview.View, service string) *serviceState {
+	if value, ok := s.states.Load(service); ok {
+		return value.(*serviceState)
 	}
-	fresh := &route{service: service, balancer: wharfrouting.NewBalancer(v.Locality())}
-	r, _ := s.services.LoadOrStore(service, fresh)
-	return r.(*route)
+	created := &serviceState{service: service, balancer: wharfrouting.NewBalancer(v.Locality())}
+	value, _ := s.states.LoadOrStore(service, created)
+	return value.(*serviceState)
 }
 
-// known reports whether a service has targets.
-func (s *routes) known(v *wharfview.View, service string) bool {
-	if _, ok := s.services.Load(service); ok {
+// known reports whether a service was called before or has targets.
+func (s *serviceStates) known(v *wharfview.View, service string) bool {
+	if _, ok := s.states.Load(service); ok {
 		return true
 	}
 	return len(v.Targets(service)) > 0
 }
 
-// refresh takes over the present targets; the caller holds the lock.
-func (r *route) refresh(v *wharfview.View) {
+// refresh updates the targets of the balancer if the view has changed. The
+// caller holds the lock.
+func (s *serviceState) refresh(v *wharfview.View) {
 	version := v.Version()
-	if r.loaded && r.version == version {
+	if s.loaded && s.version == version {
 		return
 	}
-	r.balancer.SetTargets(time.Now(), v.Targets(r.service))
-	r.version, r.loaded = version, true
+	s.balancer.SetTargets(time.Now(), v.Targets(s.service))
+	s.version, s.loaded = version, true
 }
 
-// pick chooses a target for an attempt.
-func (r *route) pick(v *wharfview.View, q wharfrouting.Request) (wharfrouting.Target, wharfoutcome.Outcome) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.refresh(v)
+// pick chooses a target for an attempt. If there is none, the address of the
+// target is empty and the outcome has the reason.
+func (s *serviceState) pick(v *wharfview.View, q wharfrouting.Request) (wharfrouting.Target, wharfoutcome.Outcome) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.refresh(v)
 	now, rng := time.Now(), wharfrandom.New()
-	target, reason := r.balancer.Pick(now, rng, q)
+	target, reason := s.balancer.Pick(now, rng, q)
 	if reason == wharfoutcome.ReasonNone {
 		return target, wharfoutcome.Outcome{}
 	}
-	return target, wharfoutcome.Refuse(reason).WithRetryAfter(r.balancer.RetryAfter(now, rng))
+	return target, wharfoutcome.Refuse(reason).WithRetryAfter(s.balancer.RetryAfter(now, rng))
 }
 
-// observe takes the result of an attempt.
-func (r *route) observe(address, kind string, result wharfrouting.Result, latency time.Duration, report *wharfrouting.LoadReport) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.balancer.Observe(time.Now(), address, kind, result, latency, report)
+// observe passes the result of an attempt to the balancer. The report may be
+// nil.
+func (s *serviceState) observe(address, route string, result wharfrouting.Result, latency time.Duration, report *wharfrouting.LoadReport) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.balancer.Observe(time.Now(), address, route, result, latency, report)
 }
 
-// serviceRefuses reports whether a refusal for overload was the last word of
-// the whole service.
-func (r *route) serviceRefuses(q wharfrouting.Request) bool {
-	r.mu.Lock()
-	defer r.mu.Unlock()
+// noAlternative reports whether no other target of the service would admit a
+// request that one target has refused for overload.
+func (s *serviceState) noAlternative(q wharfrouting.Request) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	now := time.Now()
-	return !r.balancer.HasLowerPriorityQueued(now, q) && !r.balancer.HasCapacity(now, q)
+	return !s.balancer.HasLowerPriorityQueued(now, q) && !s.balancer.HasCapacity(now, q)
 }
 
-// begin counts a request for the service.
-func (r *route) begin(l wharfbudget.RepeatLimit) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.repeats.Request(time.Now(), l)
+// countRequest counts a request for the service, which raises the number of
+// repeats allowed.
+func (s *serviceState) countRequest(l wharfbudget.RepeatLimit) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.repeats.Request(time.Now(), l)
 }
 
-// mayRepeat takes a repeat from this node's part of the limit.
-func (r *route) mayRepeat(l wharfbudget.RepeatLimit, nodes int) bool {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.repeats.Allow(time.Now(), l, nodes)
+// allowRepeat takes one repeat from this node's share of the limit. It returns
+// false if the share is used up.
+func (s *serviceState) allowRepeat(l wharfbudget.RepeatLimit, nodes int) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.repeats.Allow(time.Now(), l, nodes)
 }
 
-// levelReduction returns how far the level of the service for a kind of request is
-// from an open one.
-func (r *route) levelReduction(kind string) uint16 {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return uint16(wharfadmission.LevelOpen - r.balancer.Level(time.Now(), kind))
+// levelReduction returns how far the admission level of the service for a route
+// is below LevelOpen.
+func (s *serviceState) levelReduction(route string) uint16 {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return uint16(wharfadmission.LevelOpen - s.balancer.Level(time.Now(), route))
 }
 
-// ejected lists the targets left out at present, for the admin API.
-func (r *route) ejected() []string {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.balancer.Ejected(time.Now())
+// ejected returns the addresses of the targets that are ejected now.
+func (s *serviceState) ejected() []string {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.balancer.Ejected(time.Now())
 }
 
-// Ejected lists the targets of all services that are left out at present.
-func (e *Proxy) Ejected() []string {
+// Ejected returns the addresses of the ejected targets of all services. It is
+// never nil.
+func (p *Proxy) Ejected() []string {
 	out := []string{}
-	e.routes.services.Range(func(_, r any) bool {
-		out = append(out, r.(*route).ejected()...)
+	p.services.states.Range(func(_, s any) bool {
+		out = append(out, s.(*serviceState).ejected()...)
 		return true
 	})
 	return out
--- a/wharfnode/internal/wharfproxy/send.go
+++ b/wharfnode/internal/wharfproxy/send.go
@@ -11,176 +11,185 @@
 	"ragwortwharf.dev/wharfnode/internal/wharfrandom"
 )
 
-// plainTries is the number of tries at each hop of the baseline variant.
+// plainTries is the number of attempts at each hop when retries are set to
+// "plain", the baseline variant.
 const plainTries = 3
 
-// ownerTries is the number of tries at the home of a key.
+// ownerTries is the number of attempts at the owner of a key.
 const ownerTries = 3
 
-// sending is the state of a request over its attempts.
-type sending struct {
-	entry *Proxy
-	call  *call
-	route *route
+// attemptLoop makes the attempts of one request and holds their state.
+type attemptLoop struct {
+	proxy   *Proxy
+	call    *call
+	service *serviceState
+	// tried lists the addresses of the targets that were tried.
 	tried []string
-	// mayHaveCrashed lists the targets where the request may have run and whose
-	// answer didn't come.
+	// mayHaveCrashed lists the addresses of the targets that may have run the
+	// request and whose response did not arrive.
 	mayHaveCrashed []string
-	// arrivals counts those that a target received, or may have.
+	// arrivals counts the attempts that a target received or may have received.
 	arrivals int
 	last     attemptResult
-	// uncertain is the outcome of the last attempt that may have run.
+	// uncertain is the outcome of the last attempt that may have run, valid if
+	// mayHaveRun is true.
 	uncertain  wharfoutcome.Outcome
 	mayHaveRun bool
 }
 
 // send makes attempts until the request has its final outcome.
-func (e *Proxy) send(c *call) {
-	s := &sending{entry: e, call: c, route: e.routes.get(e.View, c.service)}
+func (p *Proxy) send(c *call) {
+	s := &attemptLoop{proxy: p, call: c, service: p.services.get(p.View, c.service)}
 	c.grant.begin()
 	defer s.end()
-	s.route.begin(e.RepeatLimit)
+	s.service.countRequest(p.RepeatLimit)
 	for s.attempt() {
-		if !s.pause() {
+		if !s.backOff() {
 			break
 		}
 	}
-	if s.last.answered {
+	if s.last.delivered {
 		return
 	}
-	e.refuse(c, s.outcome())
+	p.refuse(c, s.outcome())
 }
 
-// outcome returns the truth about all attempts: once one of them may have run,
-// a later refusal doesn't undo that.
-func (s *sending) outcome() wharfoutcome.Outcome {
+// outcome returns the outcome over all attempts. If one of them may have run, a
+// later refusal does not make the request one that has not run.
+func (s *attemptLoop) outcome() wharfoutcome.Outcome {
 	if s.mayHaveRun && s.last.outcome.Kind == wharfoutcome.NotRun {
 		return s.uncertain.WithRetryAfter(s.last.outcome.RetryAfter)
 	}
 	return s.last.outcome
 }
 
-// end records what the request has met for the call that it was made for.
-func (s *sending) end() {
+// end records the result of the request for its parent call.
+func (s *attemptLoop) end() {
 	s.call.grant.end(wharfbudget.DownstreamResult{
-		Retried:        s.call.tries > 1 && !s.last.answered,
-		Refused:        !s.last.answered,
-		LevelReduction: s.route.levelReduction(s.call.route()),
+		Retried:        s.call.tries > 1 && !s.last.delivered,
+		Refused:        !s.last.delivered,
+		LevelReduction: s.service.levelReduction(s.call.route()),
 	})
 }
 
 // attempt makes one attempt and reports whether another may follow.
-func (s *sending) attempt() bool {
-	e, c := s.entry, s.call
-	down, ok := c.grant.take()
+func (s *attemptLoop) attempt() bool {
+	p, c := s.proxy, s.call
+	delegated, ok := c.grant.take()
 	if !ok {
 		s.fail(wharfoutcome.Refuse(wharfoutcome.ReasonAttemptsSpent))
 		return false
 	}
-	request, refused := s.request()
-	if refused != wharfoutcome.ReasonNone {
-		c.grant.refund(down)
-		s.fail(wharfoutcome.Refuse(refused).WithRetryAfter(ownerRetryAfter))
+	request, reason := s.routingRequest()
+	if reason != wharfoutcome.ReasonNone {
+		c.grant.refund(delegated)
+		s.fail(wharfoutcome.Refuse(reason).WithRetryAfter(ownerRetryAfter))
 		return false
 	}
-	target, o := s.route.pick(e.View, request)
+	target, o := s.service.pick(p.View, request)
 	if target.Address == "" {
-		c.grant.refund(down)
+		c.grant.refund(delegated)
 		s.fail(o)
 		return false
 	}
 	s.tried = append(s.tried, target.Address)
 	s.call.tries++
-	e.Metrics.Attempt(s.call.tries > 1)
-	s.last = e.attempt(c, target, down)
-	if s.last.arrived || s.last.answered {
+	p.Metrics.Attempt(s.call.tries > 1)
+	s.last = p.attempt(c, target, delegated)
+	if s.last.arrived || s.last.delivered {
 		s.arrivals++
 	}
-	s.observe(target, down)
-	if s.last.answered {
+	s.observe(target, delegated)
+	if s.last.delivered {
 		return false
 	}
-	e.logAttempt(c, target, s.last)
+	p.logAttempt(c, target, s.last)
 	return s.mayRetry(request)
 }
 
 // fail sets the outcome of a request that can't be sent.
-func (s *sending) fail(o wharfoutcome.Outcome) {
+func (s *attemptLoop) fail(o wharfoutcome.Outcome) {
 	if s.call.tries > 0 && o.Reason == wharfoutcome.ReasonNoTarget {
-		// All targets were tried: what the last one said says more.
+		// All targets were tried. The outcome of the last attempt is more
+		// specific.
 		return
 	}
 	s.last = attemptResult{outcome: o}
 }
 
-// ownerRetryAfter is the advice when the home of a key isn't known or reached.
+// ownerRetryAfter is the retry-after hint when the owner of a key is unknown.
 const ownerRetryAfter = 500 * time.Millisecond
 
-// request describes the request to routing. A request that must take effect at
-// most once goes to the home of its key and nowhere else.
-func (s *sending) request() (wharfrouting.Request, wharfoutcome.Reason) {
+// routingRequest describes the request to the balancer. A request that must take
+// effect at most once is sent only to the owner of its key.
+func (s *attemptLoop) routingRequest() (wharfrouting.Request, wharfoutcome.Reason) {
 	c := s.call
 	r := wharfrouting.Request{
 		Route: c.route(), Rank: c.policy.Class.Rank, Priority: c.priority,
-		Tried: s.tried, IgnoreLevels: !s.entry.Variant.Levels,
+		Tried: s.tried, IgnoreLevels: !s.proxy.Variant.Levels,
 	}
 	if c.policy.Idempotent || c.key == "" {
 		r.ExposureLimit = s.exposureLimit()
 		return r, wharfoutcome.ReasonNone
 	}
-	owner, ok := s.entry.View.Ownership().Table.Owner(c.service, c.key)
+	owner, ok := s.proxy.View.Ownership().Table.Owner(c.service, c.key)
 	if !ok {
 		return r, wharfoutcome.ReasonHomeUnreachable
 	}
-	// The home recognises a resend, so it may be asked again.
+	// The owner detects a resend by its key, so the same target may be tried
+	// again.
 	r.PinnedNode, r.Tried = owner.Node, nil
 	return r, wharfoutcome.ReasonNone
 }
 
-func (s *sending) observe(target wharfrouting.Target, down int) {
-	s.route.observe(target.Address, s.call.route(), s.last.routing, s.last.latency, s.last.report)
+// observe updates the balancer, the grant and the crash records from the last
+// attempt.
+func (s *attemptLoop) observe(target wharfrouting.Target, delegated int) {
+	s.service.observe(target.Address, s.call.route(), s.last.routing, s.last.latency, s.last.report)
 	s.observeQueueDelay()
 	if s.last.sent {
-		s.call.grant.refundUnused(down, s.last.attemptsLeft)
+		s.call.grant.refundUnused(delegated, s.last.attemptsLeft)
 	} else {
-		s.call.grant.refund(down)
+		s.call.grant.refund(delegated)
 	}
 	if s.last.outcome.Reason == wharfoutcome.ReasonSuspected {
-		// The target's node knows of a crash that this one hasn't heard of.
-		s.entry.safeRequests.Remove(s.call.fingerprint)
+		// The target's node has a record of a crash that this node has not
+		// received yet.
+		s.proxy.safeRequests.Remove(s.call.fingerprint)
 	}
 	switch s.last.outcome.Kind {
 	case wharfoutcome.Completed:
-		s.entry.retryBudget.Success()
-		s.entry.markSafe(s.call)
+		s.proxy.retryBudget.Success()
+		s.proxy.markSafe(s.call)
 	case wharfoutcome.Unknown:
 		s.uncertain, s.mayHaveRun = s.last.outcome, true
 		s.mayHaveCrashed = append(s.mayHaveCrashed, target.Address)
 	}
 }
 
-// observeQueueDelay notes the wait that a call of the target here has met. One that
-// was turned away met the longest.
-func (s *sending) observeQueueDelay() {
+// observeQueueDelay records the queue delay of a call made by a target on this
+// VM. A call that was rejected counts with the maximum delay.
+func (s *attemptLoop) observeQueueDelay() {
 	report := s.last.report
 	if report == nil || !report.FromService && s.call.depth == 0 {
 		return
 	}
 	switch s.last.outcome.Reason {
 	case wharfoutcome.ReasonOverload, wharfoutcome.ReasonOverloadBelow, wharfoutcome.ReasonDeadline:
-		s.entry.Backpressure.Observe(wharfadmission.MaxQueueDelay)
+		s.proxy.Backpressure.Observe(wharfadmission.MaxQueueDelay)
 	default:
-		s.entry.Backpressure.Observe(report.QueueDelay)
+		s.proxy.Backpressure.Observe(report.QueueDelay)
 	}
 }
 
-// mayRetry decides whether another attempt follows.
-func (s *sending) mayRetry(request wharfrouting.Request) bool {
+// mayRetry reports whether another attempt follows. If so, the attempt is taken
+// from the retry budget and the repeat limit.
+func (s *attemptLoop) mayRetry(request wharfrouting.Request) bool {
 	c := s.call
-	if c.ctx.Err() != nil || s.entry.Variant.Retries == "off" {
+	if c.ctx.Err() != nil || s.proxy.Variant.Retries == "off" {
 		return false
 	}
-	if s.entry.Variant.Retries == "plain" {
+	if s.proxy.Variant.Retries == "plain" {
 		safe := c.policy.Idempotent || s.last.outcome.Kind == wharfoutcome.NotRun
 		return safe && s.call.tries < plainTries && !c.body.restSent
 	}
@@ -193,29 +202,33 @@
 	reason := s.last.outcome.Reason
 	f := wharfbudget.Failure{
 		Outcome: s.last.outcome,
-		// Asking the home of a key again is safe: it runs the key once.
-		Idempotent:    c.policy.Idempotent || request.PinnedNode != "" && s.last.lost,
+		// It is safe to ask the owner of a key again, because the owner runs the
+		// key once.
+		Idempotent:    c.policy.Idempotent || request.PinnedNode != "" && s.last.responseLost,
 		Retried:       s.last.retried,
 		BodyConsumed:  c.body.restSent,
 		Suspected:     reason == wharfoutcome.ReasonTargetCrashed || s.suspected(),
-		NoAlternative: reason == wharfoutcome.ReasonOverload && s.route.serviceRefuses(request),
+		NoAlternative: reason == wharfoutcome.ReasonOverload && s.service.noAlternative(request),
 	}
-	return wharfbudget.MayRetry(f) && s.entry.retryBudget.Allow() && s.mayRepeat()
+	return wharfbudget.MayRetry(f) && s.proxy.retryBudget.Allow() && s.mayRepeat()
 }
 
 // mayRepeat takes a repeat from the limit if a target may have received the
-// request. What only nodes have refused reaches a target for the first time.
-func (s *sending) mayRepeat() bool {
-	return s.arrivals == 0 || s.route.mayRepeat(s.entry.RepeatLimit, s.entry.View.KnownNodes())
+// request. If only nodes have refused it, the next attempt is the first that can
+// reach a target and is no repeat.
+func (s *attemptLoop) mayRepeat() bool {
+	return s.arrivals == 0 || s.service.allowRepeat(s.proxy.RepeatLimit, s.proxy.View.KnownNodes())
 }
 
-func (s *sending) suspected() bool {
-	return s.entry.Quarantine.Suspected(time.Now(), s.call.fingerprint)
+// suspected reports whether the request is suspected of crashing targets.
+func (s *attemptLoop) suspected() bool {
+	return s.proxy.Quarantine.Suspected(time.Now(), s.call.fingerprint)
 }
 
-// pause waits before the next attempt. It is false if the deadline comes first.
-func (s *sending) pause() bool {
-	if s.entry.Variant.Retries == "plain" {
+// backOff waits before the next attempt, except in the "plain" variant. It
+// returns false if the deadline passes first or the caller cancels the request.
+func (s *attemptLoop) backOff() bool {
+	if s.proxy.Variant.Retries == "plain" {
 		return s.call.ctx.Err() == nil
 	}
 	wait := wharfbudget.Backoff(wharfrandom.New(), s.call.tries)
--- a/wharfnode/internal/wharfproxy/transfer.go
+++ b/wharfnode/internal/wharfproxy/transfer.go
@@ -14,22 +14,26 @@
 	"ragwortwharf.dev/wharfnode/wharfevents"
 )
 
-// transfer is one attempt under way.
+// transfer is one attempt in progress.
 type transfer struct {
-	entry  *Proxy
+	proxy  *Proxy
 	call   *call
 	target wharfrouting.Target
 	stream wharftransport.Exchange
 	head   *wharfwire.CallHead
-	// ctx is that of the stream, and monitored tells whether the node answers.
-	ctx       context.Context
+	// ctx is the context of the stream. It ends with the cause
+	// wharfliveness.ErrUnresponsive if the node stops responding.
+	ctx context.Context
+	// monitored records the responses of the node for its monitor.
 	monitored *wharfliveness.Call
-	sum       wharfwire.BodySum
-	// upload ends when the rest of a long body was sent.
+	// sum is the length and checksum of the body sent so far.
+	sum wharfwire.BodySum
+	// upload sends the rest of a long body. It is nil until the node admits the
+	// request.
 	upload *upload
 }
 
-// begin sends the head and the part of the body that is kept.
+// begin sends the head and the buffered prefix of the body.
 func (x *transfer) begin() error {
 	frame := &wharfwire.CallFrame{Head: x.head}
 	rest := x.call.body.prefix
@@ -45,14 +49,14 @@
 			return err
 		}
 		if len(rest) == 0 {
-			return x.closeShort()
+			return x.closeIfBuffered()
 		}
 		frame = &wharfwire.CallFrame{}
 	}
 }
 
-// closeShort ends the sending side if nothing more of the body comes.
-func (x *transfer) closeShort() error {
+// closeIfBuffered closes the sending side if the prefix was the whole body.
+func (x *transfer) closeIfBuffered() error {
 	if x.call.body.rest != nil {
 		return nil
 	}
@@ -71,12 +75,13 @@
 	return x.stream.CloseSend()
 }
 
-// receive takes the frames of the answer.
+// receive processes the frames of the response. It discards a response to
+// another attempt.
 func (x *transfer) receive() attemptResult {
 	for {
 		frame, err := x.stream.Recv()
 		if err != nil {
-			return x.broken(err)
+			return x.failedResult(err)
 		}
 		x.monitored.RecordResponse()
 		if frame.GetAdmitted() != nil {
@@ -85,22 +90,24 @@
 		}
 		head := frame.GetHead()
 		if head == nil || head.GetAttemptId() != x.head.GetAttemptId() {
-			x.entry.Log.Emit(wharfevents.LateAnswer, wharfevents.Field{Name: "target", Value: x.target.Address})
+			x.proxy.Log.Emit(wharfevents.LateAnswer, wharfevents.Field{Name: "target", Value: x.target.Address})
 			continue
 		}
 		if wharfoutcome.Kind(head.GetOutcome()) != wharfoutcome.Completed || head.GetReason() != "" {
-			return x.refused(frame)
+			return x.refusedResult(frame)
 		}
-		return x.answer(frame)
+		return x.deliver(frame)
 	}
 }
 
-// startUpload sends the rest of a long body while the answer is awaited.
+// startUpload begins to send the rest of a long body in its own goroutine, while
+// receive waits for the response.
 func (x *transfer) startUpload() {
 	if x.call.body.rest == nil || x.upload != nil {
 		return
 	}
-	// Without this the server would read the whole body before it answers.
+	// Without full duplex, net/http reads the whole request body before it
+	// writes a response.
 	_ = http.NewResponseController(x.call.w).EnableFullDuplex()
 	x.call.body.restSent = true
 	x.upload = &upload{transfer: x}
@@ -112,9 +119,9 @@
 	transfer *transfer
 }
 
-// run ends with the body or with the stream of the attempt. When the caller's
-// body ends early, the closing frame is left out, so that the target never
-// takes the part for the whole.
+// run sends the body until it or the stream of the attempt ends. If the caller's
+// body ends early, the end frame is not sent, so that the target never takes the
+// part for the complete body.
 func (u *upload) run() {
 	x := u.transfer
 	for {
