--- a/wharfnode/internal/wharftransport/client.go
+++ b/wharfnode/internal/wharftransport/client.go
@@ -20,30 +20,32 @@
 )
 
 const (
-	// dialTimeout bounds the set-up of a connection to another node. It covers
-	// the round trip between regions several times.
+	// dialTimeout bounds the setup of a connection to another node. It is
+	// several times the round trip between regions.
 	dialTimeout = 300 * time.Millisecond
-	// idleTimeout closes a connection to another node that isn't used. It is
-	// shorter than that of a node's server.
+	// idleTimeout is the time after which an unused connection to another node
+	// is closed. It is shorter than the idle timeout of a node's server.
 	idleTimeout = 30 * time.Second
-	// maxIdleConns is the number of idle connections kept to one node.
+	// maxIdleConns is the maximum number of idle connections kept to one node.
 	maxIdleConns = 256
 )
 
-// AbortedError says that the target's node ended an answer early.
+// AbortedError reports that the target's node ended a response early.
 type AbortedError struct {
 	Reason wharfoutcome.Reason
 }
 
-// Error returns the reason.
+// Error returns a message with the reason.
 func (e *AbortedError) Error() string {
-	return "answer broken off: " + string(e.Reason)
+	return "response aborted: " + string(e.Reason)
 }
 
-// Client sends calls to other nodes. The zero Client is ready to use.
+// Client sends calls to other nodes. The zero Client is ready to use. Its
+// methods except Close are safe for concurrent use.
 type Client struct {
-	// SelfAddress is the address by which others reach this node, and Receiver what
-	// serves its calls. Calls to itself don't leave the process.
+	// SelfAddress is the address at which other nodes reach this node. Receiver
+	// serves the calls of this node to itself, which don't leave the process. If
+	// it is nil, they are sent over HTTP.
 	SelfAddress string
 	Receiver    Receiver
 	Log         wharfevents.Log
@@ -53,47 +55,51 @@
 	transport *http.Transport
 }
 
-// Exchange is a call on its sending side.
+// Exchange is the sending side of a call. After the first Recv, one goroutine
+// may send frames while another receives.
 type Exchange interface {
-	// Send hands a frame over. Frames sent before the first Recv go together.
+	// Send sends a frame, which the sender must not change afterwards. Frames
+	// may be buffered until the first Recv and are then sent together.
 	Send(f *wharfwire.CallFrame) error
-	// CloseSend says that no frame follows.
+	// CloseSend ends the request: no frame follows.
 	CloseSend() error
-	// Recv returns the next frame of the answer.
+	// Recv returns the next frame of the response. It returns an AbortedError if
+	// the target's node ended the response early.
 	Recv() (*wharfwire.AnswerFrame, error)
-	// Sent reports whether the node may have received anything.
+	// Sent reports whether the node may have received a part of the call.
 	Sent() bool
 }
 
-// Monitor returns what watches the calls to an address.
+// Monitor returns the liveness monitor of the node at an address.
 func (c *Client) Monitor(address string) *wharfliveness.Monitor {
-	if w, ok := c.monitors.Load(address); ok {
-		return w.(*wharfliveness.Monitor)
+	if m, ok := c.monitors.Load(address); ok {
+		return m.(*wharfliveness.Monitor)
 	}
-	w, _ := c.monitors.LoadOrStore(address, &wharfliveness.Monitor{
-		Address: address, OnChange: func(silent bool) { c.onLivenessChange(address, silent) },
+	m, _ := c.monitors.LoadOrStore(address, &wharfliveness.Monitor{
+		Address: address, OnChange: func(unresponsive bool) { c.onLivenessChange(address, unresponsive) },
 	})
-	return w.(*wharfliveness.Monitor)
+	return m.(*wharfliveness.Monitor)
 }
 
-// onLivenessChange takes note of a node that has fallen silent or answers again.
-func (c *Client) onLivenessChange(address string, silent bool) {
+// onLivenessChange logs that a node has become unresponsive or responds again.
+func (c *Client) onLivenessChange(address string, unresponsive bool) {
 	event := wharfevents.NodeAnswers
-	if silent {
+	if unresponsive {
 		event = wharfevents.NodeSilent
 	}
 	c.Log.Emit(event, wharfevents.Field{Name: "node", Value: address})
 }
 
-// Open begins a call to the node at an address. It ends with its context.
+// Open begins a call to the node at an address. The call ends when its context
+// does.
 func (c *Client) Open(ctx context.Context, address string) Exchange {
 	if address == c.SelfAddress && c.Receiver != nil {
-		return newLocal(ctx, c.Receiver)
+		return newLocalCall(ctx, c.Receiver)
 	}
 	return &exchange{client: c, ctx: ctx, address: address, body: buffers.Get().(*bytes.Buffer)}
 }
 
-// Close ends the idle connections.
+// Close closes the idle connections.
 func (c *Client) Close() {
 	if c.transport != nil {
 		c.transport.CloseIdleConnections()
@@ -117,14 +123,21 @@
 	client  *Client
 	ctx     context.Context
 	address string
-	// body collects the frames that are sent before the first answer.
-	body    *bytes.Buffer
-	ended   bool
+	// body buffers the frames that are sent before the first Recv.
+	body *bytes.Buffer
+	// sendClosed is true after CloseSend.
+	sendClosed bool
+	// started is true once the first Recv has sent the HTTP request.
 	started bool
-	rest    *io.PipeWriter
-	got     bool
+	// bodyWriter takes the frames sent after the first Recv. It is nil if the
+	// request was complete by then.
+	bodyWriter *io.PipeWriter
+	// gotConn is true once the HTTP transport has a connection for the call.
+	gotConn bool
 	reader  *bufio.Reader
-	close   func() error
+	// close closes the body of the HTTP response. It is nil before the response
+	// and after finish.
+	close func() error
 }
 
 func (x *exchange) Send(f *wharfwire.CallFrame) error {
@@ -136,20 +149,20 @@
 	if err := encode(b, f); err != nil {
 		return err
 	}
-	_, err := x.rest.Write(b.Bytes())
+	_, err := x.bodyWriter.Write(b.Bytes())
 	return err
 }
 
 func (x *exchange) CloseSend() error {
-	x.ended = true
-	if x.rest != nil {
-		return x.rest.Close()
+	x.sendClosed = true
+	if x.bodyWriter != nil {
+		return x.bodyWriter.Close()
 	}
 	return nil
 }
 
 func (x *exchange) Sent() bool {
-	return x.got
+	return x.gotConn
 }
 
 func (x *exchange) Recv() (*wharfwire.AnswerFrame, error) {
@@ -173,17 +186,17 @@
 	return f, nil
 }
 
-// start sends what was collected and waits for the head of the answer.
+// start sends the buffered frames and waits for the head of the HTTP response.
 func (x *exchange) start() error {
 	x.started = true
-	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { x.got = true }}
-	r, err := http.NewRequestWithContext(httptrace.WithClientTrace(x.ctx, trace), http.MethodPost, "http://"+x.address+Path, x.frames())
+	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { x.gotConn = true }}
+	r, err := http.NewRequestWithContext(httptrace.WithClientTrace(x.ctx, trace), http.MethodPost, "http://"+x.address+Path, x.requestBody())
 	if err != nil {
 		return oops.Code("peer-address").Wrap(err)
 	}
-	// Without GetBody the transport never sends the call a second time.
+	// Without GetBody, the HTTP transport never resends the call.
 	r.GetBody = nil
-	if x.ended {
+	if x.sendClosed {
 		r.ContentLength = int64(x.body.Len())
 	}
 	response, err := x.client.roundTripper().RoundTrip(r) //nolint:bodyclose // finish closes it
@@ -193,30 +206,32 @@
 	x.reader, x.close = newReader(response.Body), response.Body.Close
 	if response.StatusCode != http.StatusOK {
 		x.finish()
-		return oops.Code("peer-refused").Errorf("node %s answered a call with status %d", x.address, response.StatusCode)
+		return oops.Code("peer-refused").Errorf("node %s responded to a call with status %d", x.address, response.StatusCode)
 	}
 	return nil
 }
 
-// frames returns the body of the request. It isn't a type that the transport
-// can rewind.
-func (x *exchange) frames() io.Reader {
+// requestBody returns the body of the HTTP request. Its type is not one that the
+// HTTP transport can rewind to resend the request.
+func (x *exchange) requestBody() io.Reader {
 	first := io.NopCloser(x.body)
-	if x.ended {
+	if x.sendClosed {
 		return first
 	}
 	rest, w := io.Pipe()
-	x.rest = w
+	x.bodyWriter = w
 	return io.MultiReader(first, rest)
 }
 
-// finish gives the connection back if the answer was read to its end.
+// finish closes the body of the HTTP response. If the response was read to its
+// end, the connection is reused.
 func (x *exchange) finish() {
 	if x.close == nil {
 		return
 	}
 	if x.reader.Buffered() == 0 {
-		// Reading the end of the body lets the transport keep the connection.
+		// The HTTP transport reuses the connection only after the body was read
+		// to EOF.
 		_, _ = x.reader.ReadByte()
 	}
 	_ = x.close()
--- a/wharfnode/internal/wharftransport/frame.go
+++ b/wharfnode/internal/wharftransport/frame.go
@@ -14,57 +14,63 @@
 )
 
 const (
-	// Path is where a node takes calls of other nodes.
+	// Path is the URL path at which a node serves the calls of other nodes.
 	Path = "/wharf/v1/call"
-	// maxFrame is the largest frame: a chunk of a body and the headers of a
-	// request, in bytes.
-	maxFrame = 1 << 20
-	// readBuffer is the size of the buffer that frames are read through, in
-	// bytes.
-	readBuffer = 4 << 10
-	// maxPooledBuffer is the largest buffer that is kept for reuse, in bytes.
-	maxPooledBuffer = 64 << 10
+	// maxFrameSize is the maximum size of a frame in bytes. A frame has at most
+	// the headers of a request and one chunk of a body.
+	maxFrameSize = 1 << 20
+	// readBufferSize is the size in bytes of the buffer through which frames are
+	// read.
+	readBufferSize = 4 << 10
+	// maxPooledBufferSize is the size in bytes above which a buffer is not
+	// reused.
+	maxPooledBufferSize = 64 << 10
 )
 
-// Stream is the receiving side of a call.
+// Stream is the receiving side of a call. Its context ends when the sender
+// disconnects or cancels the call.
 type Stream interface {
 	Context() context.Context
 	Recv() (*wharfwire.CallFrame, error)
 	Send(f *wharfwire.AnswerFrame) error
 }
 
-// Receiver serves calls.
+// Receiver serves calls. It must be safe for concurrent use.
 type Receiver interface {
-	// Call serves one call. An error ends the answer early; the sender takes
-	// nothing of it for whole.
+	// Call serves one call. If it returns an error, the response is aborted, and
+	// the sender must treat what it received as incomplete. The sender gets the
+	// reason of an AbortedError.
 	Call(s Stream) error
 }
 
-var unmarshal = protodelim.UnmarshalOptions{MaxSize: maxFrame}
+var unmarshal = protodelim.UnmarshalOptions{MaxSize: maxFrameSize}
 
 var buffers = sync.Pool{New: func() any { return new(bytes.Buffer) }}
 
+// freeBuffer returns a buffer to the pool, unless it is too large to keep.
 func freeBuffer(b *bytes.Buffer) {
-	if b.Cap() <= maxPooledBuffer {
+	if b.Cap() <= maxPooledBufferSize {
 		b.Reset()
 		buffers.Put(b)
 	}
 }
 
-var readers = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, readBuffer) }}
+var readers = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, readBufferSize) }}
 
+// newReader returns a reader from the pool that reads from r.
 func newReader(r io.Reader) *bufio.Reader {
 	b := readers.Get().(*bufio.Reader)
 	b.Reset(r)
 	return b
 }
 
+// freeReader returns a reader to the pool.
 func freeReader(b *bufio.Reader) {
 	b.Reset(nil)
 	readers.Put(b)
 }
 
-// encode appends a frame with its length to a buffer.
+// encode appends a frame, preceded by its length, to a buffer.
 func encode(b *bytes.Buffer, f proto.Message) error {
 	_, err := protodelim.MarshalTo(b, f)
 	return err
--- a/wharfnode/internal/wharftransport/local.go
+++ b/wharfnode/internal/wharftransport/local.go
@@ -7,56 +7,59 @@
 	"ragwortwharf.dev/wharf/wharfwire"
 )
 
-// localFrames is how many frames may wait on each way of a call within the
-// process.
-const localFrames = 4
+// localQueueFrames is the maximum number of frames queued in each direction of a
+// call within the process.
+const localQueueFrames = 4
 
-// local is a call to the own node.
-type local struct {
-	ctx      context.Context
-	receiver Receiver
-	calls    chan *wharfwire.CallFrame
-	answers  chan *wharfwire.AnswerFrame
-	err      error
+// localCall is a call of this node to itself.
+type localCall struct {
+	ctx          context.Context
+	receiver     Receiver
+	callFrames   chan *wharfwire.CallFrame
+	answerFrames chan *wharfwire.AnswerFrame
+	// err is the result of the receiver. It is set before answerFrames is
+	// closed.
+	err error
 }
 
-func newLocal(ctx context.Context, r Receiver) *local {
-	l := &local{
+func newLocalCall(ctx context.Context, r Receiver) *localCall {
+	l := &localCall{
 		ctx: ctx, receiver: r,
-		calls:   make(chan *wharfwire.CallFrame, localFrames),
-		answers: make(chan *wharfwire.AnswerFrame, localFrames),
+		callFrames:   make(chan *wharfwire.CallFrame, localQueueFrames),
+		answerFrames: make(chan *wharfwire.AnswerFrame, localQueueFrames),
 	}
 	go l.run()
 	return l
 }
 
 // run serves the call.
-func (l *local) run() {
+func (l *localCall) run() {
 	l.err = l.receiver.Call(localStream{l})
-	close(l.answers)
+	close(l.answerFrames)
 }
 
-func (l *local) Send(f *wharfwire.CallFrame) error {
+func (l *localCall) Send(f *wharfwire.CallFrame) error {
 	select {
-	case l.calls <- f:
+	case l.callFrames <- f:
 		return nil
 	case <-l.ctx.Done():
 		return l.ctx.Err()
 	}
 }
 
-func (l *local) CloseSend() error {
-	close(l.calls)
+func (l *localCall) CloseSend() error {
+	close(l.callFrames)
 	return nil
 }
 
-func (l *local) Sent() bool {
+// Sent always reports true, because the call needs no connection.
+func (l *localCall) Sent() bool {
 	return true
 }
 
-func (l *local) Recv() (*wharfwire.AnswerFrame, error) {
+func (l *localCall) Recv() (*wharfwire.AnswerFrame, error) {
 	select {
-	case f, ok := <-l.answers:
+	case f, ok := <-l.answerFrames:
 		if ok {
 			return f, nil
 		}
@@ -71,7 +74,7 @@
 
 // localStream is the receiving side of a call within the process.
 type localStream struct {
-	*local
+	*localCall
 }
 
 func (s localStream) Context() context.Context {
@@ -80,7 +83,7 @@
 
 func (s localStream) Recv() (*wharfwire.CallFrame, error) {
 	select {
-	case f, ok := <-s.calls:
+	case f, ok := <-s.callFrames:
 		if !ok {
 			return nil, io.EOF
 		}
@@ -90,11 +93,11 @@
 	}
 }
 
-// Send passes a copy on, because the sender uses the frame again.
+// Send sends a copy of the frame, because the Receiver reuses the frame.
 func (s localStream) Send(f *wharfwire.AnswerFrame) error {
-	own := &wharfwire.AnswerFrame{Admitted: f.GetAdmitted(), Head: f.GetHead(), Chunk: f.GetChunk(), End: f.GetEnd(), Broken: f.GetBroken()}
+	copied := &wharfwire.AnswerFrame{Admitted: f.GetAdmitted(), Head: f.GetHead(), Chunk: f.GetChunk(), End: f.GetEnd(), Broken: f.GetBroken()}
 	select {
-	case s.answers <- own:
+	case s.answerFrames <- copied:
 		return nil
 	case <-s.ctx.Done():
 		return s.ctx.Err()
--- a/wharfnode/internal/wharftransport/server.go
+++ b/wharfnode/internal/wharftransport/server.go
@@ -12,27 +12,29 @@
 	"ragwortwharf.dev/wharf/wharfwire"
 )
 
-// Handler takes calls over HTTP.
+// Handler serves calls over HTTP.
 type Handler struct {
 	Receiver Receiver
 }
 
-// ServeHTTP serves one call.
+// ServeHTTP serves one call. If the receiver returns an error that is not an
+// AbortedError, the HTTP response has status 400, or the connection is aborted
+// if a part of the response was already sent.
 func (h Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s := &serverStream{w: w, r: r, reader: newReader(r.Body)}
-	// The reader isn't reused after a call whose body may still be read by
-	// another goroutine.
 	err := h.Receiver.Call(s)
+	// After a streamed body the reader is not reused, because another goroutine
+	// may still read from it.
 	if !s.streams {
 		freeReader(s.reader)
 	}
 	if err == nil {
 		return
 	}
-	var broken *AbortedError
+	var aborted *AbortedError
 	switch {
-	case errors.As(err, &broken):
-		s.abort(broken)
+	case errors.As(err, &aborted):
+		s.abort(aborted)
 	case s.wrote:
 		panic(http.ErrAbortHandler)
 	default:
@@ -40,14 +42,16 @@
 	}
 }
 
-// serverStream is a call on its receiving side.
+// serverStream is the receiving side of a call over HTTP.
 type serverStream struct {
 	w      http.ResponseWriter
 	r      *http.Request
 	reader *bufio.Reader
-	// streams says that the body goes on while the answer is sent.
+	// streams is true if the sender may still send the body while the response
+	// is sent.
 	streams bool
-	wrote   bool
+	// wrote is true once a part of the response was written.
+	wrote bool
 }
 
 func (s *serverStream) Context() context.Context {
@@ -61,14 +65,15 @@
 	}
 	if f.GetHead().GetStreams() {
 		s.streams = true
-		// Without this the server would read the whole body before it answers.
+		// Without full duplex, net/http reads the whole request body before it
+		// writes a response.
 		if err := http.NewResponseController(s.w).EnableFullDuplex(); err != nil {
 			return nil, err
 		}
 	}
 	if f.GetEnd() != nil && s.streams {
-		// The server looks out for a sender that leaves only once it has read
-		// the body to its end.
+		// net/http notices that the sender has disconnected only after the
+		// request body was read to EOF.
 		if _, err := s.reader.ReadByte(); !errors.Is(err, io.EOF) {
 			return nil, io.ErrUnexpectedEOF
 		}
@@ -76,8 +81,8 @@
 	return f, nil
 }
 
-// Send writes a frame. One that is the whole answer is sent with its length, so
-// that it takes one write.
+// Send writes a frame. A frame that is the complete response is sent with a
+// Content-Length, so that it takes one write.
 func (s *serverStream) Send(f *wharfwire.AnswerFrame) error {
 	b := buffers.Get().(*bytes.Buffer)
 	defer freeBuffer(b)
@@ -101,9 +106,9 @@
 	return http.NewResponseController(s.w).Flush()
 }
 
-// abort ends an answer early and says why.
-func (s *serverStream) abort(broken *AbortedError) {
-	if s.Send(&wharfwire.AnswerFrame{Broken: string(broken.Reason)}) != nil {
+// abort ends the response early and sends the reason.
+func (s *serverStream) abort(aborted *AbortedError) {
+	if s.Send(&wharfwire.AnswerFrame{Broken: string(aborted.Reason)}) != nil {
 		panic(http.ErrAbortHandler)
 	}
 }
--- a/wharfnode/internal/wharftransport/hop_test.go
+++ b/wharfnode/internal/wharftransport/transport_test.go
@@ -19,8 +19,8 @@
 	"ragwortwharf.dev/wharf/wharfwire"
 )
 
-// breakingListener remembers its connections, so that a handler can break
-// them.
+// breakingListener keeps its connections, so that a test can close them while
+// calls are in progress.
 type breakingListener struct {
 	net.Listener
 	mu    sync.Mutex
@@ -37,7 +37,7 @@
 	return c, err
 }
 
-func (l *breakingListener) breakAll() {
+func (l *breakingListener) closeAll() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, c := range l.conns {
@@ -46,13 +46,13 @@
 	l.conns = nil
 }
 
-// scripted serves calls by a function and counts them.
-type scripted struct {
+// scriptedReceiver serves calls with a function and counts them.
+type scriptedReceiver struct {
 	arrivals atomic.Int32
 	serve    func(s Stream, first *wharfwire.CallFrame) error
 }
 
-func (r *scripted) Call(s Stream) error {
+func (r *scriptedReceiver) Call(s Stream) error {
 	f, err := s.Recv()
 	if err != nil {
 		return err
@@ -61,6 +61,8 @@
 	return r.serve(s, f)
 }
 
+// startNode starts an HTTP server for the receiver and returns its listener and
+// address.
 func startNode(t *testing.T, r Receiver) (*breakingListener, string) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -74,12 +76,15 @@
 	return breaking, l.Addr().String()
 }
 
-func whole(s Stream, f *wharfwire.CallFrame) error {
+// sendComplete sends a complete response in one frame.
+func sendComplete(s Stream, f *wharfwire.CallFrame) error {
 	return s.Send(&wharfwire.AnswerFrame{
 		Head: &wharfwire.AnswerHead{AttemptId: f.GetHead().GetAttemptId()}, End: &wharfwire.AnswerEnd{},
 	})
 }
 
+// call makes a call that fits in one frame and returns the first frame of the
+// response.
 func call(c *Client, address string) (*wharfwire.AnswerFrame, error) {
 	x := c.Open(context.Background(), address)
 	if err := x.Send(&wharfwire.CallFrame{Head: &wharfwire.CallHead{AttemptId: 7}, End: &wharfwire.BodyEnd{}}); err != nil {
@@ -91,19 +96,20 @@
 	return x.Recv()
 }
 
-// TestBrokenCallIsNotResent breaks a connection that was used before, after the
-// node has read the call.
-func TestBrokenCallIsNotResent(t *testing.T) {
+// TestCallIsNotResentOnBrokenConnection guards against a call that runs twice
+// because the HTTP transport resends it. The transport may do so when a reused
+// connection breaks after the node has read the call.
+func TestCallIsNotResentOnBrokenConnection(t *testing.T) {
 	is := is.New(t)
 	var broken atomic.Bool
 	var listener *breakingListener
-	r := &scripted{}
+	r := &scriptedReceiver{}
 	r.serve = func(s Stream, f *wharfwire.CallFrame) error {
 		if broken.Load() {
-			listener.breakAll()
+			listener.closeAll()
 			return nil
 		}
-		return whole(s, f)
+		return sendComplete(s, f)
 	}
 	listener, address := startNode(t, r)
 	var c Client
@@ -119,11 +125,13 @@
 		_, err = call(&c, address)
 		is.True(r.arrivals.Load() <= 3)
 	}
-	is.Equal(r.arrivals.Load(), int32(3)) // nothing arrived by itself
+	is.Equal(r.arrivals.Load(), int32(3)) // no call was resent
 }
 
-// TestUnsentIsTold calls an address that nothing listens on.
-func TestUnsentIsTold(t *testing.T) {
+// TestSentIsFalseWithoutConnection guards against a call that reports Sent
+// although no connection was made, because nothing listens on the address. The
+// proxy would then assume that the request may have run.
+func TestSentIsFalseWithoutConnection(t *testing.T) {
 	is := is.New(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
@@ -138,7 +146,8 @@
 	is.True(!x.Sent())
 }
 
-// TestCalls passes short and long calls over the network and within the process.
+// TestCalls makes short, streamed and aborted calls over the network and within
+// the process. Both ways must give the same frames and errors.
 func TestCalls(t *testing.T) {
 	upload := func(s Stream, f *wharfwire.CallFrame) error {
 		if err := s.Send(&wharfwire.AnswerFrame{Admitted: &wharfwire.Admitted{AttemptId: 7}}); err != nil {
@@ -156,48 +165,48 @@
 			Head: &wharfwire.AnswerHead{AttemptId: 7, ContentLength: int64(size)}, End: &wharfwire.AnswerEnd{},
 		})
 	}
-	broken := func(s Stream, _ *wharfwire.CallFrame) error {
+	abortBeforeHead := func(s Stream, _ *wharfwire.CallFrame) error {
 		return &AbortedError{wharfoutcome.ReasonTargetCrashed}
 	}
-	brokenLater := func(s Stream, _ *wharfwire.CallFrame) error {
+	abortAfterHead := func(s Stream, _ *wharfwire.CallFrame) error {
 		_ = s.Send(&wharfwire.AnswerFrame{Head: &wharfwire.AnswerHead{AttemptId: 7}})
 		return &AbortedError{wharfoutcome.ReasonTargetCrashed}
 	}
 	tests := []struct {
-		name   string
-		serve  func(Stream, *wharfwire.CallFrame) error
-		long   bool
-		length int64
-		broken bool
+		name     string
+		serve    func(Stream, *wharfwire.CallFrame) error
+		streamed bool
+		length   int64
+		aborted  bool
 	}{
-		{"short", whole, false, 0, false},
+		{"short", sendComplete, false, 0, false},
 		{"upload", upload, true, 3 * 1000, false},
-		{"broken at once", broken, false, 0, true},
-		{"broken later", brokenLater, false, 0, true},
+		{"aborted before head", abortBeforeHead, false, 0, true},
+		{"aborted after head", abortAfterHead, false, 0, true},
 	}
 	for _, tc := range tests {
-		for _, way := range []string{"network", "process"} {
-			t.Run(tc.name+" by "+way, func(t *testing.T) {
+		for _, path := range []string{"network", "process"} {
+			t.Run(tc.name+" via "+path, func(t *testing.T) {
 				is := is.New(t)
-				r := &scripted{serve: tc.serve}
+				r := &scriptedReceiver{serve: tc.serve}
 				_, address := startNode(t, r)
 				c := &Client{}
-				if way == "process" {
+				if path == "process" {
 					c = &Client{SelfAddress: address, Receiver: r}
 				}
 				ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 				defer cancel()
 				x := c.Open(ctx, address)
-				first := &wharfwire.CallFrame{Head: &wharfwire.CallHead{AttemptId: 7, Streams: tc.long}, Chunk: make([]byte, 1000)}
-				if !tc.long {
+				first := &wharfwire.CallFrame{Head: &wharfwire.CallHead{AttemptId: 7, Streams: tc.streamed}, Chunk: make([]byte, 1000)}
+				if !tc.streamed {
 					first.End = &wharfwire.BodyEnd{}
 				}
 				is.NoErr(x.Send(first))
-				if !tc.long {
+				if !tc.streamed {
 					is.NoErr(x.CloseSend())
 				}
 				f, err := x.Recv()
-				if tc.long {
+				if tc.streamed {
 					is.NoErr(err)
 					is.True(f.GetAdmitted() != nil)
 					is.NoErr(x.Send(&wharfwire.CallFrame{Chunk: make([]byte, 1000)}))
@@ -208,11 +217,11 @@
 				for err == nil && f.GetEnd() == nil {
 					f, err = x.Recv()
 				}
-				var b *AbortedError
-				if tc.broken {
+				var abortErr *AbortedError
+				if tc.aborted {
 					is.True(err != nil)
-					is.True(errors.As(err, &b))
-					is.Equal(b.Reason, wharfoutcome.ReasonTargetCrashed)
+					is.True(errors.As(err, &abortErr))
+					is.Equal(abortErr.Reason, wharfoutcome.ReasonTargetCrashed)
 					return
 				}
 				is.NoErr(err)
@@ -222,15 +231,17 @@
 	}
 }
 
-// TestLeavingSenderIsNoticed ends calls on their sending side while the node
-// works on them, short ones and uploads.
+// TestLeavingSenderIsNoticed cancels a call while the node serves it. The
+// context of the node's stream must end, for short calls and for uploads whose
+// body was sent completely. Otherwise the node would go on working for a sender
+// that has disconnected.
 func TestLeavingSenderIsNoticed(t *testing.T) {
-	for _, long := range []bool{false, true} {
-		t.Run(map[bool]string{false: "short", true: "upload"}[long], func(t *testing.T) {
+	for _, streamed := range []bool{false, true} {
+		t.Run(map[bool]string{false: "short", true: "upload"}[streamed], func(t *testing.T) {
 			is := is.New(t)
-			started, left := make(chan struct{}), make(chan struct{})
-			r := &scripted{serve: func(s Stream, f *wharfwire.CallFrame) error {
-				if long {
+			started, cancelled := make(chan struct{}), make(chan struct{})
+			r := &scriptedReceiver{serve: func(s Stream, f *wharfwire.CallFrame) error {
+				if streamed {
 					if err := s.Send(&wharfwire.AnswerFrame{Admitted: &wharfwire.Admitted{}}); err != nil {
 						return err
 					}
@@ -243,15 +254,15 @@
 				}
 				close(started)
 				<-s.Context().Done()
-				close(left)
+				close(cancelled)
 				return nil
 			}}
 			_, address := startNode(t, r)
 			ctx, cancel := context.WithCancel(context.Background())
 			var c Client
 			x := c.Open(ctx, address)
-			is.NoErr(x.Send(&wharfwire.CallFrame{Head: &wharfwire.CallHead{Streams: long}, End: endIf(!long)}))
-			if long {
+			is.NoErr(x.Send(&wharfwire.CallFrame{Head: &wharfwire.CallHead{Streams: streamed}, End: bodyEndIf(!streamed)}))
+			if streamed {
 				_, err := x.Recv()
 				is.NoErr(err)
 				is.NoErr(x.Send(&wharfwire.CallFrame{End: &wharfwire.BodyEnd{}}))
@@ -260,31 +271,34 @@
 			go func() { _, _ = x.Recv() }()
 			wait(t, started)
 			cancel()
-			wait(t, left)
+			wait(t, cancelled)
 		})
 	}
 }
 
-func endIf(last bool) *wharfwire.BodyEnd {
+// bodyEndIf returns an end frame for the last chunk of a body, or else nil.
+func bodyEndIf(last bool) *wharfwire.BodyEnd {
 	if last {
 		return &wharfwire.BodyEnd{}
 	}
 	return nil
 }
 
+// wait fails the test if the channel is not closed within a minute.
 func wait(t *testing.T, c <-chan struct{}) {
 	t.Helper()
 	select {
 	case <-c:
 	case <-time.After(time.Minute):
-		t.Fatal("never happened")
+		t.Fatal("timed out after one minute")
 	}
 }
 
-// TestOnlyCallsAreServed sends what isn't a call.
-func TestOnlyCallsAreServed(t *testing.T) {
+// TestInvalidFrameIsRejected guards against a handler that serves a request body
+// without a valid frame. It must respond with status 400.
+func TestInvalidFrameIsRejected(t *testing.T) {
 	is := is.New(t)
-	server := httptest.NewServer(Handler{Receiver: &scripted{serve: whole}})
+	server := httptest.NewServer(Handler{Receiver: &scriptedReceiver{serve: sendComplete}})
 	defer server.Close()
 	response, err := http.Post(server.URL, "application/octet-stream", strings.NewReader("no frame"))
 	is.NoErr(err)
