--- a/wharf/wharfadmission/aimd.go
+++ b/wharf/wharfadmission/aimd.go
@@ -6,54 +6,65 @@
 )
 
 const (
-	// aimdWindow is the least time between two decisions on the limit.
+	// aimdWindow is the shortest time between two updates of the limit.
 	aimdWindow = 100 * time.Millisecond
-	// aimdMinSamples is the least number of samples that decide.
+	// aimdMinSamples is the smallest number of samples between two updates.
 	aimdMinSamples = 5
-	// congestedRatio is the latency, in baselines, that means queueing.
+	// congestedRatio is the ratio of latency to baseline at and above which the
+	// limiter assumes that requests queue in the target.
 	congestedRatio = 2.0
-	// decreaseFactor is applied to the limit on congestion.
+	// decreaseFactor multiplies the limit on congestion.
 	decreaseFactor = 0.7
-	// relievedShare is how far latency must fall, relative to the cut of the
-	// limit, to show that the limit was the cause.
-	relievedShare = 0.5
-	// steadyShare is the change of latency between windows that counts as none.
-	steadyShare = 0.25
-	// maxUnsteady is how many windows a cut waits for latency to be steady.
-	maxUnsteady = 3
-	// shedShare is the share of shed or failed samples that means congestion.
-	shedShare = 0.1
+	// minFallShare is the share of the expected fall of latency that a decrease
+	// must reach to show that the limit caused the congestion.
+	minFallShare = 0.5
+	// maxSteadyChange is the relative change of latency between two windows up
+	// to which latency counts as steady.
+	maxSteadyChange = 0.25
+	// maxUnsteadyWindows is how many windows the first decrease waits for steady
+	// latency.
+	maxUnsteadyWindows = 3
+	// unservedThreshold is the share of shed or failed samples above which the
+	// limiter assumes congestion.
+	unservedThreshold = 0.1
 )
 
-// AIMD raises the limit by one for each window of full use and cuts it by a
-// factor when latency shows queueing in the target.
+// AIMD is a limiter with additive increase and multiplicative decrease. It
+// raises the limit after each window of full use and multiplies it by
+// decreaseFactor when latency shows that requests queue in the target.
 //
-// A cut that brings no relief means that the target is slow by itself and not
-// for the number of its requests. Then the latency that was measured becomes
-// the baseline and the limit grows again: a lower limit would only waste
+// If latency doesn't fall after a decrease, the target is slow for a reason other
+// than the number of its requests. Then the measured latency becomes the
+// baseline and the limit grows again, because a lower limit would only waste
 // capacity.
+//
+// An AIMD isn't safe for concurrent use.
 type AIMD struct {
-	slots    int
-	limit    float64
-	cold     bool
-	baseline rankLatency
-	window   sampleWindow
-	// cutRatio is the latency ratio that caused the last cut, zero if the
-	// last decision was no cut.
-	cutRatio float64
-	// limitBeforeCuts is the limit before the first of a row of cuts.
-	limitBeforeCuts float64
-	// lastRatio is the congested ratio of the window before, and unsteady the
-	// number of congested windows that the first cut has waited for.
-	lastRatio float64
-	unsteady  int
-	// settling skips the window in which requests from before a cut end.
+	slots     int
+	limit     float64
+	slowStart bool
+	baseline  rankLatency
+	window    sampleWindow
+	// ratioAtDecrease is the latency ratio that caused the last decrease. It is
+	// zero if the last update was no decrease or was caused by unserved samples.
+	ratioAtDecrease float64
+	// limitBeforeDecreases is the limit before the first of several consecutive
+	// decreases.
+	limitBeforeDecreases float64
+	// lastRatio is the latency ratio of the previous congested window.
+	// unsteadyWindows counts the congested windows for which the first decrease
+	// has waited.
+	lastRatio       float64
+	unsteadyWindows int
+	// settling skips the window in which requests finish that started before a
+	// decrease.
 	settling bool
 }
 
-// NewAIMD returns the limiter of a target that announced its slots.
+// NewAIMD returns the limiter of a target that announced a number of slots. It
+// begins with slow start.
 func NewAIMD(slots int) *AIMD {
-	return &AIMD{slots: slots, limit: coldLimit(slots), cold: true}
+	return &AIMD{slots: slots, limit: initialLimit(slots), slowStart: true}
 }
 
 // Limit returns the number of requests that may run.
@@ -61,13 +72,13 @@
 	return int(a.limit)
 }
 
-// Observe takes one sample and, at the end of a window, decides.
+// Observe adds one sample and updates the limit at the end of a window.
 func (a *AIMD) Observe(now time.Time, s Sample) {
 	if s.Result == Cancelled {
 		return
 	}
 	a.window.add(now, s, &a.baseline)
-	if a.cold && s.Result == Answered && s.Saturated {
+	if a.slowStart && s.Result == Answered && s.Saturated {
 		a.limit = clampLimit(a.limit+1, a.slots)
 	}
 	if !a.window.complete(now) {
@@ -82,54 +93,57 @@
 		a.settling = false
 		return
 	}
-	ratio := a.window.ratio()
-	refused := a.window.refusedShare() > shedShare
+	latencyRatio := a.window.latencyRatio()
+	overloaded := a.window.unservedShare() > unservedThreshold
 	switch {
-	case refused:
+	case overloaded:
 		a.decrease(0)
-	case ratio < congestedRatio:
+	case latencyRatio < congestedRatio:
 		a.increase()
-	case a.cutRatio > 0 && latencyUnchanged(a.cutRatio, ratio):
-		a.rebase(ratio)
-	case a.cutRatio == 0 && !a.steady(ratio):
-		// Requests from before the trouble are mixed in. A cut now could not
-		// be told from the trouble itself.
+	case a.ratioAtDecrease > 0 && latencyUnchanged(a.ratioAtDecrease, latencyRatio):
+		a.resetBaseline(latencyRatio)
+	case a.ratioAtDecrease == 0 && !a.steady(latencyRatio):
+		// Some samples are from before the congestion began. After a decrease
+		// now, a change of latency could come from the decrease or from the
+		// congestion.
 	default:
-		a.decrease(ratio)
+		a.decrease(latencyRatio)
 	}
 }
 
-// latencyUnchanged reports whether latency stayed where it was although the limit was
-// cut. A rise means that the trouble was still growing, which shows nothing.
+// latencyUnchanged reports whether latency stayed about the same after a decrease
+// of the limit. It reports false for a clear rise: the congestion was still
+// growing, so the rise shows nothing about the decrease.
 func latencyUnchanged(before, after float64) bool {
 	expectedFall := (before - 1) * (1 - decreaseFactor)
 	fall := before - after
-	return math.Abs(fall) < relievedShare*expectedFall
+	return math.Abs(fall) < minFallShare*expectedFall
 }
 
-// steady reports whether latency is as it was in the window before. After
-// maxUnsteady windows it is taken as it is.
+// steady reports whether latency is about the same as in the previous window.
+// After maxUnsteadyWindows windows it always reports true.
 func (a *AIMD) steady(ratio float64) bool {
 	last := a.lastRatio
 	a.lastRatio = ratio
-	a.unsteady++
-	return math.Abs(ratio-last) <= steadyShare*last || a.unsteady > maxUnsteady
+	a.unsteadyWindows++
+	return math.Abs(ratio-last) <= maxSteadyChange*last || a.unsteadyWindows > maxUnsteadyWindows
 }
 
 func (a *AIMD) decrease(ratio float64) {
-	a.lastRatio, a.unsteady = 0, 0
-	if a.cutRatio == 0 {
-		a.limitBeforeCuts = a.limit
+	a.lastRatio, a.unsteadyWindows = 0, 0
+	if a.ratioAtDecrease == 0 {
+		a.limitBeforeDecreases = a.limit
 	}
 	a.limit = clampLimit(a.limit*decreaseFactor, a.slots)
-	a.cold = false
-	a.cutRatio = ratio
+	a.slowStart = false
+	a.ratioAtDecrease = ratio
 	a.settling = true
 }
 
-// rebase accepts the latency of the window as that of the target. Ranks that
-// the window did not see are taken to have slowed as much as the others.
-func (a *AIMD) rebase(ratio float64) {
+// resetBaseline makes the latency of the window the baseline. For a rank without
+// samples in the window it assumes that the rank slowed down as much as the
+// others.
+func (a *AIMD) resetBaseline(ratio float64) {
 	for rank := range a.baseline {
 		if mean, ok := a.window.mean(rank); ok {
 			a.baseline[rank] = mean
@@ -137,35 +151,35 @@
 			a.baseline[rank] *= ratio
 		}
 	}
-	a.limit = a.limitBeforeCuts
-	a.cutRatio = 0
-	a.cold = true
+	a.limit = a.limitBeforeDecreases
+	a.ratioAtDecrease = 0
+	a.slowStart = true
 }
 
 func (a *AIMD) increase() {
-	a.cutRatio = 0
-	a.lastRatio, a.unsteady = 0, 0
+	a.ratioAtDecrease = 0
+	a.lastRatio, a.unsteadyWindows = 0, 0
 	for rank := range a.baseline {
-		// The baseline rises only after a cut without relief: a drift towards
-		// the present latency would let the limit creep up under queueing.
+		// The baseline rises only in resetBaseline. If it drifted towards the
+		// current latency, the limit would grow slowly while requests queue.
 		if mean, ok := a.window.mean(rank); ok {
 			a.baseline[rank] = min(a.baseline[rank], mean)
 		}
 	}
-	if a.window.saturated && !a.cold {
+	if a.window.saturated && !a.slowStart {
 		a.limit = clampLimit(a.limit+math.Max(1, a.limit/16), a.slots)
 	}
 }
 
-// sampleWindow sums up the samples between two decisions.
+// sampleWindow sums up the samples between two updates of the limit.
 type sampleWindow struct {
-	started   time.Time
-	count     int
-	refused   int
-	saturated bool
-	sums      [rankCount]float64
-	counts    [rankCount]int
-	ratios    float64
+	started       time.Time
+	count         int
+	unserved      int
+	saturated     bool
+	latencySums   [rankCount]float64
+	latencyCounts [rankCount]int
+	ratioSum      float64
 }
 
 func (w *sampleWindow) add(now time.Time, s Sample, baseline *rankLatency) {
@@ -175,16 +189,16 @@
 	w.saturated = w.saturated || s.Saturated
 	w.count++
 	if s.Result == Shed || s.Result == Failed {
-		w.refused++
+		w.unserved++
 		return
 	}
 	seconds := s.Latency.Seconds()
 	if baseline[s.Rank] == 0 {
 		baseline[s.Rank] = seconds
 	}
-	w.sums[s.Rank] += seconds
-	w.counts[s.Rank]++
-	w.ratios += seconds / max(baseline[s.Rank], float64(time.Microsecond)/float64(time.Second))
+	w.latencySums[s.Rank] += seconds
+	w.latencyCounts[s.Rank]++
+	w.ratioSum += seconds / max(baseline[s.Rank], float64(time.Microsecond)/float64(time.Second))
 }
 
 func (w *sampleWindow) complete(now time.Time) bool {
@@ -195,21 +209,21 @@
 	*w = sampleWindow{started: now}
 }
 
-// ratio returns the mean latency in baselines.
-func (w *sampleWindow) ratio() float64 {
-	if w.count == w.refused {
+// latencyRatio returns the mean ratio of latency to baseline.
+func (w *sampleWindow) latencyRatio() float64 {
+	if w.count == w.unserved {
 		return 1
 	}
-	return w.ratios / float64(w.count-w.refused)
+	return w.ratioSum / float64(w.count-w.unserved)
 }
 
-func (w *sampleWindow) refusedShare() float64 {
-	return float64(w.refused) / float64(max(w.count, 1))
+func (w *sampleWindow) unservedShare() float64 {
+	return float64(w.unserved) / float64(max(w.count, 1))
 }
 
 func (w *sampleWindow) mean(rank int) (float64, bool) {
-	if w.counts[rank] == 0 {
+	if w.latencyCounts[rank] == 0 {
 		return 0, false
 	}
-	return w.sums[rank] / float64(w.counts[rank]), true
+	return w.latencySums[rank] / float64(w.latencyCounts[rank]), true
 }
--- a/wharf/wharfadmission/backpressure.go
+++ b/wharf/wharfadmission/backpressure.go
@@ -6,87 +6,97 @@
 )
 
 const (
-	// delayWindow is the time over which pressure is averaged. It spans the
-	// answers of several calls and a few round trips between nodes.
+	// delayWindow is the time over which the queue delay is averaged. It covers
+	// the responses of several calls and a few round trips between nodes.
 	delayWindow = 100 * time.Millisecond
-	// topRankDelayThreshold is the wait below at which even the most important fresh
-	// work is held back. Each rank below it bears half as much, down to
-	// minDelayThreshold, so that the least important work gives way first on all
-	// nodes that meet the same congestion, without talking to each other.
+	// topRankDelayThreshold is the downstream queue delay above which a target
+	// rejects even client requests of the most important rank. The threshold
+	// halves with each less important rank, down to minDelayThreshold, so that all
+	// nodes whose calls meet the same congestion shed the least important requests
+	// first, without any communication between the nodes.
 	topRankDelayThreshold = 160 * time.Millisecond
 	minDelayThreshold     = 20 * time.Millisecond
-	// MaxQueueDelay stands for a call that was turned away.
+	// MaxQueueDelay is the queue delay that is recorded for a refused call.
 	MaxQueueDelay = 250 * time.Millisecond
-	// topRankCutFactor is the deepest cut of the share of the most important rank in a
-	// window. Each rank below it is cut deeper by cutFactorPerRank, down to minCutFactor, so
-	// that the less important gives way before the queue reaches what the more
-	// important bears.
+	// topRankCutFactor is the smallest factor by which one window multiplies the
+	// admitted share of the most important rank. The factor is smaller by
+	// cutFactorPerRank for each less important rank, down to minCutFactor, so that
+	// the less important ranks are shed before the queue delay reaches the
+	// threshold of the more important ones.
 	topRankCutFactor = 0.975
 	cutFactorPerRank = 0.05
 	minCutFactor     = 0.84
-	// The share opens by maxIncrease up to fastIncreaseShare of where trouble began last, and
-	// beyond by minIncrease, which doubles every increaseDoublingWindows windows. What is said of
-	// a queue some hops below is late, and a share that opens faster has let in too
-	// much before that is known.
+	// The admitted share grows by maxIncrease per window up to fastIncreaseShare
+	// of the share at the last congestion. Above that it grows by minIncrease,
+	// which doubles every increaseDoublingWindows windows. The reported delay of a
+	// queue several hops downstream is out of date, so a share that grew faster
+	// would admit too much before the report arrives.
 	maxIncrease             = 0.05
 	fastIncreaseShare       = 0.75
 	minIncrease             = 0.005
 	increaseDoublingWindows = 10
-	// maxIncreaseWindows is the number of calm windows after which all is let in.
+	// maxIncreaseWindows is the number of uncongested windows after which all
+	// requests are admitted.
 	maxIncreaseWindows = 100
-	// fallingShare is the change of pressure between windows that means that the
-	// queue already drains, so that no further cut is needed.
-	fallingShare = 0.95
-	// minAdmittedShare keeps some work coming, so that the pressure is measured.
+	// drainingRatio is the ratio of the queue delay to that of the previous window
+	// below which the queue is already draining, so that no decrease is needed.
+	drainingRatio = 0.95
+	// minAdmittedShare keeps some requests running, because the queue delay is
+	// measured on their calls.
 	minAdmittedShare = 0.02
 )
 
-// Backpressure decides how much fresh work of each rank a target takes while the
-// calls that it makes meet queues. Work that is let in and then fails for one of
-// its calls has cost everything that was done for it. It isn't safe for
-// concurrent use. The zero Backpressure lets everything in.
+// Backpressure decides which share of the client requests of each rank a target
+// admits while its downstream calls meet queues. If a request is admitted and one
+// of its calls then fails, all work done for the request is wasted. A Backpressure
+// isn't safe for concurrent use. The zero Backpressure admits everything.
 type Backpressure struct {
 	windowStart time.Time
 	sum         time.Duration
 	count       int
-	// rejectedShare is the share of each rank that isn't let in.
+	// rejectedShare is the share of the client requests of each rank that is
+	// rejected.
 	rejectedShare [rankCount]float64
-	// congestionShare is the share at which trouble began last, and uncongestedWindows counts the windows
-	// since then.
+	// congestionShare is the admitted share at which the last congestion began.
+	// uncongestedWindows counts the windows since then.
 	congestionShare    [rankCount]float64
 	uncongestedWindows [rankCount]int
-	// queueDelay and lastQueueDelay are those of the last two windows.
+	// queueDelay and lastQueueDelay are the mean queue delays of the last window
+	// and of the one before.
 	queueDelay, lastQueueDelay time.Duration
 }
 
-// Observe takes the wait that a call of the target met, there or below.
+// Observe records the queue delay that a call of the target met at the called
+// target or further downstream.
 func (b *Backpressure) Observe(now time.Time, wait time.Duration) {
 	b.advanceWindows(now)
 	b.sum += min(wait, MaxQueueDelay)
 	b.count++
 }
 
-// QueueDelay returns the mean wait that the calls of the target meet.
+// QueueDelay returns the mean queue delay of the target's calls in the last
+// window. It is zero if there were no calls.
 func (b *Backpressure) QueueDelay(now time.Time) time.Duration {
 	b.advanceWindows(now)
 	return b.queueDelay
 }
 
-// Admit reports whether fresh work is let in. Requests of one user get the same
-// verdict as long as the share stays.
+// Admit reports whether a client request is admitted. The requests of one user
+// get the same decision as long as the share doesn't change.
 func (b *Backpressure) Admit(now time.Time, p Priority) bool {
 	b.advanceWindows(now)
 	bucket := float64(int(p)%bucketsPerRank) / bucketsPerRank
 	return bucket < 1-b.rejectedShare[min(p.Rank(), rankCount-1)]
 }
 
-// AdmittedShare returns the share of the work of a rank that is let in.
+// AdmittedShare returns the share of the client requests of a rank that is
+// admitted.
 func (b *Backpressure) AdmittedShare(now time.Time, rank int) float64 {
 	b.advanceWindows(now)
 	return 1 - b.rejectedShare[min(max(rank, 0), rankCount-1)]
 }
 
-// advanceWindows ends the windows that have passed.
+// advanceWindows evaluates the windows that have ended.
 func (b *Backpressure) advanceWindows(now time.Time) {
 	if b.windowStart.IsZero() {
 		b.windowStart = now
@@ -104,50 +114,54 @@
 	b.windowStart = now
 	b.adjustShares(1)
 	if windows > 1 {
-		// Windows without any call were calm.
+		// There were no calls in the other windows, so they were uncongested.
 		b.lastQueueDelay, b.queueDelay = 0, 0
 		b.adjustShares(windows - 1)
 	}
 }
 
-// adjustShares adapts the shares for a number of windows with the present pressure.
+// adjustShares updates the admitted shares for a number of windows with the
+// current queue delay.
 func (b *Backpressure) adjustShares(windows int) {
-	drains := float64(b.queueDelay) < fallingShare*float64(b.lastQueueDelay)
+	draining := float64(b.queueDelay) < drainingRatio*float64(b.lastQueueDelay)
 	for rank := range b.rejectedShare {
-		let := 1 - b.rejectedShare[rank]
-		bears := delayThreshold(rank)
+		admitted := 1 - b.rejectedShare[rank]
+		threshold := delayThreshold(rank)
 		switch {
-		case b.queueDelay <= bears:
+		case b.queueDelay <= threshold:
 			for range min(windows, maxIncreaseWindows) {
-				let = b.increaseShare(rank, let)
+				admitted = b.increaseShare(rank, admitted)
 			}
-		case !drains:
+		case !draining:
 			if b.uncongestedWindows[rank] > 0 {
-				b.congestionShare[rank], b.uncongestedWindows[rank] = let, 0
+				b.congestionShare[rank], b.uncongestedWindows[rank] = admitted, 0
 			}
-			let = max(let*max(float64(bears)/float64(b.queueDelay), maxCut(rank)), minAdmittedShare)
+			admitted = max(admitted*max(float64(threshold)/float64(b.queueDelay), maxCut(rank)), minAdmittedShare)
 		}
-		b.rejectedShare[rank] = 1 - let
+		b.rejectedShare[rank] = 1 - admitted
 	}
 }
 
-// increaseShare returns the share of a rank after one more calm window.
-func (b *Backpressure) increaseShare(rank int, let float64) float64 {
+// increaseShare returns the admitted share of a rank after one more uncongested
+// window.
+func (b *Backpressure) increaseShare(rank int, admitted float64) float64 {
 	b.uncongestedWindows[rank]++
-	creep := minIncrease * math.Exp2(float64(b.uncongestedWindows[rank]/increaseDoublingWindows))
-	step := min(creep, maxIncrease)
-	if safe := fastIncreaseShare * b.congestionShare[rank]; let < safe {
-		step = max(min(maxIncrease, safe-let), step)
+	increase := minIncrease * math.Exp2(float64(b.uncongestedWindows[rank]/increaseDoublingWindows))
+	step := min(increase, maxIncrease)
+	if fastLimit := fastIncreaseShare * b.congestionShare[rank]; admitted < fastLimit {
+		step = max(min(maxIncrease, fastLimit-admitted), step)
 	}
-	return min(let+step, 1)
+	return min(admitted+step, 1)
 }
 
-// maxCut returns the deepest cut of a rank in a window.
+// maxCut returns the smallest factor by which one window multiplies the admitted
+// share of a rank.
 func maxCut(rank int) float64 {
 	return max(topRankCutFactor-cutFactorPerRank*float64(rank), minCutFactor)
 }
 
-// delayThreshold returns the wait below that a rank bears.
+// delayThreshold returns the downstream queue delay above which the admitted
+// share of a rank decreases.
 func delayThreshold(rank int) time.Duration {
 	return max(topRankDelayThreshold>>min(rank, 8), minDelayThreshold)
 }
--- a/wharf/wharfadmission/clientroutes.go
+++ b/wharf/wharfadmission/clientroutes.go
@@ -5,33 +5,35 @@
 const (
 	// callerTTL is how long a caller of a route counts after its last request.
 	callerTTL = 10 * time.Second
-	// clientCallerShare is the share of the services that must call a route for it to be
-	// one of clients.
+	// clientCallerShare is the share of all services that must call a route before
+	// the route counts as called by clients.
 	clientCallerShare = 0.7
-	// minClientCallers is the least number of callers of such a route.
+	// minClientCallers is the smallest number of callers of such a route.
 	minClientCallers = 2
 )
 
-// ClientRouteDetector tells the requests of clients from the calls that services make to
-// serve them, where requests don't say so. Clients are spread over the VMs of all
-// services, so their kinds of request come from most services. A call comes from
-// the few services whose work needs it. It isn't safe for concurrent use. The
-// zero ClientRouteDetector has seen nothing.
+// ClientRouteDetector distinguishes client requests from calls that services make
+// to serve them, for requests that don't carry this information. Clients run on
+// the VMs of all services, so the routes that clients use are called from most
+// services. A route between services is called only from the few services that
+// need it. A ClientRouteDetector isn't safe for concurrent use. The zero
+// ClientRouteDetector has recorded no callers.
 type ClientRouteDetector struct {
 	routes map[string]map[string]time.Time
 }
 
-// IsClientRequest counts a request for a route by a calling service and reports whether it
-// is one of clients. As long as that isn't known it counts as a call, which is
-// never held back.
-func (o *ClientRouteDetector) IsClientRequest(now time.Time, route, caller string, services int) bool {
-	if o.routes == nil {
-		o.routes = map[string]map[string]time.Time{}
+// IsClientRequest records a request from a caller for a route and reports whether
+// clients call the route. services is the number of all services. Until enough
+// callers are known, the request counts as a call between services, which
+// backpressure never rejects.
+func (d *ClientRouteDetector) IsClientRequest(now time.Time, route, caller string, services int) bool {
+	if d.routes == nil {
+		d.routes = map[string]map[string]time.Time{}
 	}
-	callers, ok := o.routes[route]
+	callers, ok := d.routes[route]
 	if !ok {
 		callers = map[string]time.Time{}
-		o.routes[route] = callers
+		d.routes[route] = callers
 	}
 	callers[caller] = now
 	for name, seen := range callers {
@@ -42,15 +44,15 @@
 	return len(callers) >= max(minClientCallers, int(clientCallerShare*float64(services)+0.5))
 }
 
-// Prune drops the routes that nothing has called for a while.
-func (o *ClientRouteDetector) Prune(now time.Time) {
-	for route, callers := range o.routes {
+// Prune drops the routes that have had no request within callerTTL.
+func (d *ClientRouteDetector) Prune(now time.Time) {
+	for route, callers := range d.routes {
 		idle := true
 		for _, seen := range callers {
 			idle = idle && now.Sub(seen) > callerTTL
 		}
 		if idle {
-			delete(o.routes, route)
+			delete(d.routes, route)
 		}
 	}
 }
--- a/wharf/wharfadmission/doc.go
+++ b/wharf/wharfadmission/doc.go
@@ -1,12 +1,14 @@
-// Package wharfadmission decides which requests run on a target, which wait
-// and which are refused.
+// Package wharfadmission decides for each request to a target whether the
+// request runs, waits or is refused.
 //
-// A Limiter says how many requests a target can run at once. A Gate keeps the
-// requests that run and wait, orders the queue, and sheds the least important
-// work first. A Level is the admission level of a target: a threshold on
-// class and user request that gives one user request the same verdict at
-// every hop, and that senders apply before any work is spent.
+// A Limiter estimates how many requests a target can run at once. A Gate keeps
+// the running and the queued requests, orders the queue, and sheds the least
+// important requests first. A Level is the admission level of a target: a
+// threshold on class and user request, so that a user request gets the same
+// decision at every hop. Senders apply the level of a target before any work is
+// done for a request.
 //
-// The package is pure: the target side of the node feeds it events under a
-// lock of its own and carries out the Effects that it returns.
+// The package does no I/O, reads no clock and starts no goroutines. The target
+// side of the node calls it under a lock and carries out the Effects that it
+// returns.
 package wharfadmission
--- a/wharf/wharfadmission/gate.go
+++ b/wharf/wharfadmission/gate.go
@@ -8,87 +8,90 @@
 )
 
 const (
-	// queuePerSlot is the capacity of the queue, in limits.
+	// queuePerSlot is the capacity of the queue as a multiple of the limit.
 	queuePerSlot = 2
-	// minQueue is the least capacity of the queue.
+	// minQueue is the smallest capacity of the queue, in requests.
 	minQueue = 8
-	// latencyWeight smooths the latency that estimates are made from.
+	// latencyWeight is the weight of a new sample in the moving averages of
+	// latency and service time.
 	latencyWeight = 0.1
-	// optimisticShare is the part of the usual latency in which a request can still end
-	// with some luck. It is tried where nobody else waits for the slot: late is
-	// better than never.
+	// optimisticShare is the share of the usual latency that a request must have
+	// left before its deadline when no other request waits for the slot. Some
+	// requests finish that fast, and without a try the slot would stay idle.
 	optimisticShare = 0.5
-	// responseMargin is the time that a refusal takes back to its caller: some
-	// round trips between failure domains. Who is refused later than this before
-	// the deadline doesn't hear that the request has not run.
+	// responseMargin is the time that a refusal takes to reach the caller: some
+	// round trips between failure domains. If a request is refused later than this
+	// before its deadline, the caller doesn't learn that the request has not run.
 	responseMargin = 10 * time.Millisecond
 )
 
-// Refusal ends a request that did not run.
+// Refusal tells the node to refuse a request that has not run.
 type Refusal struct {
 	ID      uint64
 	Outcome wharfoutcome.Outcome
 }
 
-// Effects is what the node has to carry out after an event.
+// Effects lists the requests that the node must start or refuse after an event.
 type Effects struct {
 	Run     []uint64
 	Refused []Refusal
 }
 
-// Config configures a gate. The zero Config runs everything at once.
+// Config configures a gate. The zero Config runs every request at once.
 type Config struct {
 	Limiter Limiter
 	Order   Order
-	// MaxWait is how long the queue may become, in the time that it takes to
-	// drain. Zero bounds it by the limit alone.
+	// MaxWait allows a longer queue: as many requests as the target finishes in
+	// this time. If it is zero, the limit alone determines the capacity.
 	MaxWait time.Duration
-	// Levels turns the admission level on.
+	// Levels enables the admission level.
 	Levels bool
-	// Reserves lists the share of the limit that each class keeps from the
-	// less important ones.
+	// Reserves lists the share of the limit that is reserved for each class and
+	// the more important ones.
 	Reserves []Reserve
-	// Rand spreads the advice on when to come back.
+	// Rand adds jitter to retry-after hints. Without it they have no jitter.
 	Rand *rand.Rand
 }
 
-// Reserve is the share of a limit that is kept from ranks above Rank.
+// Reserve is the share of a limit that no rank larger than Rank may use.
 type Reserve struct {
 	Rank  int
 	Share float64
 }
 
-// running is a request that has a slot.
+// running is a request that occupies a slot.
 type running struct {
 	Ticket
 	started time.Time
 }
 
-// Gate decides on the requests of one target. It isn't safe for concurrent
-// use; its owner holds a lock.
+// Gate admits, queues or refuses the requests of one target. It isn't safe for
+// concurrent use; its owner must hold a lock.
 type Gate struct {
 	cfg     Config
 	queue   queue
 	running []running
 	level   Level
 	latency rankLatency
-	// hold is the smoothed time that a request holds its slot, in seconds.
-	hold float64
-
-	// shortestWait is the least wait of a request in the present window; the
-	// queue stands when it doesn't come down to nothing.
-	shortestWait time.Duration
-	waitSeen     bool
-	standing     bool
-	refusedFull  bool
-	windowStart  time.Time
+	// serviceTime is the moving average of the time that a request occupies its
+	// slot, in seconds.
+	serviceTime float64
+
+	// shortestWait is the shortest wait of a request that started in the current
+	// window. There is a standing queue if it exceeds standingDelay.
+	shortestWait    time.Duration
+	waitRecorded    bool
+	standingQueue   bool
+	queueOverflowed bool
+	windowStart     time.Time
 
 	drainStart time.Time
 	drainCount int
 	drainRate  float64
 }
 
-// NewGate returns a gate without requests.
+// NewGate returns a gate without requests. Without a limiter in cfg the gate uses
+// Unlimited.
 func NewGate(cfg Config) *Gate {
 	if cfg.Limiter == nil {
 		cfg.Limiter = Unlimited{}
@@ -96,18 +99,19 @@
 	return &Gate{cfg: cfg}
 }
 
-// SetReserves puts new reserves in force.
+// SetReserves replaces the reserves.
 func (g *Gate) SetReserves(reserves []Reserve) {
 	g.cfg.Reserves = reserves
 }
 
-// SetLimiter puts another limiter in force, for a target that announced
-// another number of slots.
+// SetLimiter replaces the limiter after the target announced another number of
+// slots.
 func (g *Gate) SetLimiter(l Limiter) {
 	g.cfg.Limiter = l
 }
 
-// Offer asks for a slot.
+// Offer adds a request, which then runs, waits or is refused. The effects can also
+// start or refuse other waiting requests.
 func (g *Gate) Offer(now time.Time, t Ticket) Effects {
 	var fx Effects
 	t.Rank = min(max(t.Rank, 0), rankCount-1)
@@ -118,16 +122,17 @@
 	}
 	g.queue.push(t)
 	if g.cfg.Levels && !g.level.Admit(t.Priority) {
-		// What the level sheds is the least important of all that waits, which
-		// may be a request that was let in under a higher level.
-		g.dropLast(&fx)
+		// The least important waiting request is shed. This may be a request
+		// that was admitted under a higher level.
+		g.dropLeastImportant(&fx)
 	}
 	g.fill(now, &fx)
 	g.shed(&fx)
 	return fx
 }
 
-// Finish ends a request that ran.
+// Finish records the end of a request that ran and starts waiting requests. It
+// ignores the latency and result of an unknown id.
 func (g *Gate) Finish(now time.Time, id uint64, latency time.Duration, result Result) Effects {
 	var fx Effects
 	for i, r := range g.running {
@@ -147,25 +152,26 @@
 	return fx
 }
 
-// Cancel removes a request whose caller went away while it waited.
+// Cancel removes a waiting request whose caller disconnected. It reports whether
+// the request was waiting.
 func (g *Gate) Cancel(id uint64) bool {
 	return g.queue.removeID(id)
 }
 
-// Load is what senders are told of the target.
+// Load is the load of a target as it is reported to senders.
 type Load struct {
 	Running int
 	Queued  int
 	Limit   int
 	Level   Priority
-	// LowestRank is the largest rank that waits, -1 if none does. It gives way
-	// to a more important request.
+	// LowestRank is the largest rank in the queue, -1 if the queue is empty. A
+	// request of this rank is shed before a more important one.
 	LowestRank int
-	// QueueRoom is how many more requests may wait.
+	// QueueRoom is the number of further requests that fit into the queue.
 	QueueRoom int
 }
 
-// Load returns the present load.
+// Load returns the current load.
 func (g *Gate) Load() Load {
 	l := Load{
 		Running:    len(g.running),
@@ -181,18 +187,18 @@
 	return l
 }
 
-func (g *Gate) observe(now time.Time, held time.Duration, s Sample) {
+func (g *Gate) observe(now time.Time, elapsed time.Duration, s Sample) {
 	g.cfg.Limiter.Observe(now, s)
 	if s.Result != Answered {
 		return
 	}
 	g.latency.smooth(s.Rank, s.Latency.Seconds(), latencyWeight)
-	g.hold = smooth(g.hold, held.Seconds(), latencyWeight)
+	g.serviceTime = smooth(g.serviceTime, elapsed.Seconds(), latencyWeight)
 	g.drainCount++
 	g.measureDrain(now)
 }
 
-// fill starts waiting requests while the limit allows.
+// fill starts waiting requests while the limit allows it.
 func (g *Gate) fill(now time.Time, fx *Effects) {
 	for g.queue.len() > 0 {
 		i := g.queue.first(g.ranking())
@@ -213,49 +219,51 @@
 }
 
 func (g *Gate) recordWait(wait time.Duration) {
-	if !g.waitSeen || wait < g.shortestWait {
+	if !g.waitRecorded || wait < g.shortestWait {
 		g.shortestWait = wait
 	}
-	g.waitSeen = true
+	g.waitRecorded = true
 }
 
-// shed refuses the least important waiting requests beyond the capacity.
+// shed refuses the least important waiting requests that exceed the capacity of
+// the queue.
 func (g *Gate) shed(fx *Effects) {
 	for g.queue.len() > g.queueCapacity() {
-		g.refusedFull = true
-		g.dropLast(fx)
+		g.queueOverflowed = true
+		g.dropLeastImportant(fx)
 	}
 }
 
 func (g *Gate) queueCapacity() int {
 	limit := g.cfg.Limiter.Limit()
 	capacity := max(queuePerSlot*limit, minQueue)
-	if g.cfg.MaxWait > 0 && g.hold > 0 {
-		capacity = max(capacity, int(g.cfg.MaxWait.Seconds()/g.hold*float64(limit)))
+	if g.cfg.MaxWait > 0 && g.serviceTime > 0 {
+		capacity = max(capacity, int(g.cfg.MaxWait.Seconds()/g.serviceTime*float64(limit)))
 	}
 	return capacity
 }
 
-// EstimatedWait estimates how long a request that comes now waits for a slot.
+// EstimatedWait estimates how long a request that arrives now waits for a slot. It
+// doesn't block.
 func (g *Gate) EstimatedWait() time.Duration {
 	limit := g.cfg.Limiter.Limit()
 	if len(g.running) < limit {
 		return 0
 	}
-	seconds := float64(g.queue.len()+1) / float64(limit) * g.hold
+	seconds := float64(g.queue.len()+1) / float64(limit) * g.serviceTime
 	return time.Duration(seconds * float64(time.Second))
 }
 
-func (g *Gate) dropLast(fx *Effects) {
+func (g *Gate) dropLeastImportant(fx *Effects) {
 	t := g.queue.remove(g.queue.last(g.ranking()))
 	g.refuse(fx, t.ID, wharfoutcome.ReasonOverload)
 }
 
 func (g *Gate) ranking() ranking {
-	return ranking{order: g.cfg.Order, standing: g.standing}
+	return ranking{order: g.cfg.Order, standingQueue: g.standingQueue}
 }
 
-// limitFor returns the part of the limit that a rank may fill.
+// limitFor returns the part of the limit that requests of a rank may use.
 func (g *Gate) limitFor(rank int) int {
 	limit := g.cfg.Limiter.Limit()
 	share := 1.0
@@ -270,21 +278,22 @@
 	return max(int(share*float64(limit)), 1)
 }
 
-// canFinish reports whether a request can still be answered in time. An idle
-// target always gets a request, so that a wrong estimate mends itself.
+// canFinish reports whether a request can still be answered before its deadline.
+// An idle target gets any request whose deadline has not passed, because only a
+// finished request can correct a wrong latency estimate.
 func (g *Gate) canFinish(now time.Time, t Ticket) bool {
 	switch {
 	case len(g.running) == 0:
 		return t.Deadline.After(now)
 	case g.uncontended(t):
-		lucky := time.Duration(optimisticShare * float64(g.estimate(t.Rank)))
-		return now.Before(t.Deadline.Add(-max(lucky, responseMargin)))
+		optimistic := time.Duration(optimisticShare * float64(g.estimate(t.Rank)))
+		return now.Before(t.Deadline.Add(-max(optimistic, responseMargin)))
 	}
 	return now.Before(g.LatestStart(t))
 }
 
-// uncontended reports whether there is a slot for a request that nobody else
-// waits for.
+// uncontended reports whether there is a free slot for a request and no other
+// request waits.
 func (g *Gate) uncontended(t Ticket) bool {
 	others := g.queue.len()
 	if others == 1 && g.queue.tickets[0].ID == t.ID {
@@ -293,13 +302,14 @@
 	return others == 0 && len(g.running) < g.limitFor(t.Rank)
 }
 
-// estimate returns the usual latency of a rank.
+// estimate returns the usual latency of a rank, zero if it is unknown.
 func (g *Gate) estimate(rank int) time.Duration {
 	return time.Duration(g.latency[min(max(rank, 0), rankCount-1)] * float64(time.Second))
 }
 
-// LatestStart returns when a request that still waits is to be given up: it
-// could not be answered in time, but its caller still hears that it has not run.
+// LatestStart returns the time from which a waiting request is refused. After
+// that time the target could not answer before the deadline, while a refusal still
+// reaches the caller in time.
 func (g *Gate) LatestStart(t Ticket) time.Time {
 	return t.Deadline.Add(-max(g.estimate(t.Rank), responseMargin))
 }
--- a/wharf/wharfadmission/gate_test.go
+++ b/wharf/wharfadmission/gate_test.go
@@ -21,8 +21,8 @@
 func (f fixedLimit) Limit() int              { return int(f) }
 func (fixedLimit) Observe(time.Time, Sample) {}
 
-// witness drives a gate and checks what must hold after each event.
-type witness struct {
+// gateChecker sends events to a gate and checks its invariants after each one.
+type gateChecker struct {
 	gate    *Gate
 	limit   int
 	waiting map[uint64]Ticket
@@ -30,10 +30,10 @@
 	ended   int
 }
 
-var errInvariant = errors.New("invariant broken")
+var errInvariant = errors.New("invariant violated")
 
-func newWitness(order Order, levels bool, limit int) *witness {
-	return &witness{
+func newGateChecker(order Order, levels bool, limit int) *gateChecker {
+	return &gateChecker{
 		gate: NewGate(Config{
 			Limiter: fixedLimit(limit), Order: order, Levels: levels,
 			Reserves: []Reserve{{Rank: 0, Share: 0.2}},
@@ -45,42 +45,42 @@
 	}
 }
 
-func (w *witness) apply(now time.Time, fx Effects) error {
+func (c *gateChecker) apply(now time.Time, fx Effects) error {
 	for _, id := range fx.Run {
-		t, ok := w.waiting[id]
+		t, ok := c.waiting[id]
 		if !ok || !t.Deadline.After(now) {
-			return fmt.Errorf("%w: %d ran without waiting or after its deadline", errInvariant, id)
+			return fmt.Errorf("%w: request %d ran without waiting or after its deadline", errInvariant, id)
 		}
-		delete(w.waiting, id)
-		w.running[id] = t
+		delete(c.waiting, id)
+		c.running[id] = t
 	}
 	for _, r := range fx.Refused {
-		t, ok := w.waiting[r.ID]
+		t, ok := c.waiting[r.ID]
 		if !ok {
-			return fmt.Errorf("%w: %d ended twice", errInvariant, r.ID)
+			return fmt.Errorf("%w: request %d was refused without waiting", errInvariant, r.ID)
 		}
-		delete(w.waiting, r.ID)
-		w.ended++
+		delete(c.waiting, r.ID)
+		c.ended++
 		if r.Outcome.RetryAfter <= 0 || r.Outcome.Kind != wharfoutcome.NotRun {
-			return fmt.Errorf("%w: %d was refused with %v", errInvariant, r.ID, r.Outcome)
+			return fmt.Errorf("%w: request %d was refused with %v", errInvariant, r.ID, r.Outcome)
 		}
-		for _, other := range w.waiting {
+		for _, other := range c.waiting {
 			if r.Outcome.Reason == wharfoutcome.ReasonOverload && other.Rank > t.Rank {
 				return fmt.Errorf("%w: rank %d was shed while rank %d waits", errInvariant, t.Rank, other.Rank)
 			}
 		}
 	}
-	if len(w.running) > w.limit {
-		return fmt.Errorf("%w: %d run under a limit of %d", errInvariant, len(w.running), w.limit)
+	if len(c.running) > c.limit {
+		return fmt.Errorf("%w: %d requests run under a limit of %d", errInvariant, len(c.running), c.limit)
 	}
-	if got := w.gate.Load(); got.Running != len(w.running) || got.Queued != len(w.waiting) {
-		return fmt.Errorf("%w: %+v with %d running and %d waiting", errInvariant, got, len(w.running), len(w.waiting))
+	if got := c.gate.Load(); got.Running != len(c.running) || got.Queued != len(c.waiting) {
+		return fmt.Errorf("%w: load %+v with %d running and %d waiting requests", errInvariant, got, len(c.running), len(c.waiting))
 	}
 	return nil
 }
 
-// least returns the least id of some tickets, so that runs can be repeated.
-func least(tickets map[uint64]Ticket) (uint64, bool) {
+// smallestID returns the smallest id of some tickets, so that runs are reproducible.
+func smallestID(tickets map[uint64]Ticket) (uint64, bool) {
 	first, found := uint64(0), false
 	for id := range tickets {
 		if !found || id < first {
@@ -90,29 +90,29 @@
 	return first, found
 }
 
-// step draws one event and checks its effects.
-func (w *witness) step(t *rapid.T, i int, now time.Time) error {
+// step draws one event, sends it to the gate and checks the effects.
+func (c *gateChecker) step(t *rapid.T, i int, now time.Time) error {
 	switch rapid.IntRange(0, 5).Draw(t, "event") {
 	case 0:
-		id, ok := least(w.running)
+		id, ok := smallestID(c.running)
 		if !ok {
 			return nil
 		}
-		delete(w.running, id)
-		w.ended++
+		delete(c.running, id)
+		c.ended++
 		latency := time.Duration(rapid.IntRange(1, 200).Draw(t, "latency")) * time.Millisecond
-		return w.apply(now, w.gate.Finish(now, id, latency, Answered))
+		return c.apply(now, c.gate.Finish(now, id, latency, Answered))
 	case 1:
-		id, ok := least(w.waiting)
+		id, ok := smallestID(c.waiting)
 		if !ok {
 			return nil
 		}
-		delete(w.waiting, id)
-		w.ended++
-		if !w.gate.Cancel(id) {
-			return fmt.Errorf("%w: %d waited and could not be withdrawn", errInvariant, id)
+		delete(c.waiting, id)
+		c.ended++
+		if !c.gate.Cancel(id) {
+			return fmt.Errorf("%w: request %d waited and could not be cancelled", errInvariant, id)
 		}
-		return w.apply(now, Effects{})
+		return c.apply(now, Effects{})
 	default:
 		rank := rapid.IntRange(0, 3).Draw(t, "rank")
 		ticket := Ticket{
@@ -121,17 +121,18 @@
 			Arrived:  now,
 			Deadline: now.Add(time.Duration(rapid.IntRange(-5, 1000).Draw(t, "left")) * time.Millisecond),
 		}
-		w.waiting[ticket.ID] = ticket
-		return w.apply(now, w.gate.Offer(now, ticket))
+		c.waiting[ticket.ID] = ticket
+		return c.apply(now, c.gate.Offer(now, ticket))
 	}
 }
 
-func drive(t *rapid.T, order Order) error {
-	w := newWitness(order, rapid.Bool().Draw(t, "levels"), rapid.IntRange(1, 6).Draw(t, "limit"))
+// runRandomEvents sends a random sequence of events to a new gate.
+func runRandomEvents(t *rapid.T, order Order) error {
+	c := newGateChecker(order, rapid.Bool().Draw(t, "levels"), rapid.IntRange(1, 6).Draw(t, "limit"))
 	now := epoch
 	for i := range rapid.IntRange(1, 120).Draw(t, "events") {
 		now = now.Add(time.Duration(rapid.IntRange(0, 60).Draw(t, "pause")) * time.Millisecond)
-		if err := w.step(t, i, now); err != nil {
+		if err := c.step(t, i, now); err != nil {
 			return err
 		}
 	}
@@ -141,30 +142,33 @@
 func TestGateInvariants(t *testing.T) {
 	for _, order := range []Order{Adaptive, FIFO} {
 		t.Run(fmt.Sprint(order), rapid.MakeCheck(func(t *rapid.T) {
-			if err := drive(t, order); err != nil {
+			if err := runRandomEvents(t, order); err != nil {
 				t.Fatal(err)
 			}
 		}))
 	}
 }
 
-// TestArrivalOrderBreaksInvariant shows that the property above has teeth.
+// TestArrivalOrderBreaksInvariant checks that the invariants can fail: an order that
+// ignores the rank violates them.
 func TestArrivalOrderBreaksInvariant(t *testing.T) {
 	is := is.New(t)
-	w := newWitness(Arrival, false, 1)
+	c := newGateChecker(Arrival, false, 1)
 	var err error
 	for i := range 20 {
 		ticket := Ticket{ID: uint64(i), Rank: 3, Arrived: epoch.Add(time.Duration(i)), Deadline: epoch.Add(time.Hour)}
 		if i == 19 {
 			ticket.Rank = 0
 		}
-		w.waiting[ticket.ID] = ticket
-		err = errors.Join(err, w.apply(epoch, w.gate.Offer(epoch, ticket)))
+		c.waiting[ticket.ID] = ticket
+		err = errors.Join(err, c.apply(epoch, c.gate.Offer(epoch, ticket)))
 	}
 	is.True(errors.Is(err, errInvariant))
 }
 
-func TestDeepWorkGoesFirst(t *testing.T) {
+// TestDeeperRequestRunsFirst guards against wasting the work that other hops have
+// already done for a user request.
+func TestDeeperRequestRunsFirst(t *testing.T) {
 	is := is.New(t)
 	g := NewGate(Config{Limiter: fixedLimit(1)})
 	deadline := epoch.Add(time.Minute)
@@ -174,7 +178,9 @@
 	is.Equal(g.Finish(epoch, 1, time.Millisecond, Answered).Run, []uint64{3})
 }
 
-func TestWaitEndsWhileTheCallerListens(t *testing.T) {
+// TestLatestStartLeavesTimeForRefusal guards against a refusal that reaches the
+// caller only after the deadline.
+func TestLatestStartLeavesTimeForRefusal(t *testing.T) {
 	is := is.New(t)
 	g := NewGate(Config{Limiter: fixedLimit(1)})
 	deadline := epoch.Add(time.Second)
@@ -184,9 +190,10 @@
 	is.Equal(g.LatestStart(Ticket{Deadline: deadline}), deadline.Add(-300*time.Millisecond))
 }
 
-// TestFreeSlotIsTriedWithLittleTimeLeft is the pattern of calls that come late
-// to a target with room, while latencies are spread widely.
-func TestFreeSlotIsTriedWithLittleTimeLeft(t *testing.T) {
+// TestFreeSlotAdmitsRequestWithLittleTimeLeft guards against idle slots: latencies
+// vary widely, and a request with less time left than the usual latency may still
+// finish before its deadline.
+func TestFreeSlotAdmitsRequestWithLittleTimeLeft(t *testing.T) {
 	is := is.New(t)
 	g := NewGate(Config{Limiter: fixedLimit(2)})
 	g.Offer(epoch, Ticket{ID: 1, Deadline: epoch.Add(time.Minute)})
@@ -195,11 +202,11 @@
 	g.Offer(now, Ticket{ID: 2, Deadline: now.Add(time.Minute)})
 	is.Equal(len(g.Offer(now, Ticket{ID: 3, Deadline: now.Add(400 * time.Millisecond)}).Refused), 1)
 	is.Equal(g.Offer(now, Ticket{ID: 4, Deadline: now.Add(600 * time.Millisecond)}).Run, []uint64{4})
-	// Where slots are short, they go to those that end in time as a rule.
+	// Without a free slot, a request must have the whole usual latency left.
 	is.Equal(len(g.Offer(now, Ticket{ID: 5, Deadline: now.Add(600 * time.Millisecond)}).Refused), 1)
 }
 
-func TestReserveStaysOpen(t *testing.T) {
+func TestReserveIsKeptForItsRank(t *testing.T) {
 	is := is.New(t)
 	g := NewGate(Config{Limiter: fixedLimit(10), Reserves: []Reserve{{Rank: 0, Share: 0.3}}})
 	ran := 0
@@ -219,9 +226,10 @@
 		now = now.Add(100 * time.Millisecond)
 		g.Finish(now, uint64(i), 100*time.Millisecond, Answered)
 	}
-	// Ten requests a second drain; with nothing waiting a slot is 100 ms away.
-	advice := g.RetryAfter()
-	is.True(advice > 80*time.Millisecond && advice < 130*time.Millisecond)
+	// The target finishes ten requests a second, so with an empty queue the next
+	// slot is free in 100 ms.
+	hint := g.RetryAfter()
+	is.True(hint > 80*time.Millisecond && hint < 130*time.Millisecond)
 }
 
 func BenchmarkGate(b *testing.B) {
--- a/wharf/wharfadmission/level.go
+++ b/wharf/wharfadmission/level.go
@@ -3,49 +3,53 @@
 import "math"
 
 const (
-	// bucketsPerRank is how finely a level divides the user requests of a rank.
+	// bucketsPerRank is the number of buckets into which a level divides the user
+	// requests of a rank.
 	bucketsPerRank = 128
-	// LevelOpen admits everything.
+	// LevelOpen is the admission level that admits every request.
 	LevelOpen = Priority(rankCount*bucketsPerRank - 1)
-	// firstOpenStep is by how many buckets a level opens after an overload; it
-	// doubles with each calm window.
-	firstOpenStep = 8
-	// maxOpenRatio bounds by how much a level grows at a time when less is
-	// admitted than the target could finish.
-	maxOpenRatio = 4.0
+	// firstRaiseStep is the number of buckets by which a level rises in the first
+	// window after an overload. The step doubles with each window without
+	// overload.
+	firstRaiseStep = 8
+	// maxRaiseRatio bounds the ratio by which a level rises in one window when
+	// fewer requests are admitted than the target can finish.
+	maxRaiseRatio = 4.0
 )
 
-// Priority packs class and user request into one number; lower is more
-// important.
+// Priority combines the class and the user request of a request into one number.
+// A lower number is more important.
 type Priority uint16
 
-// PriorityOf returns the priority of a user request in a class.
+// PriorityOf returns the priority of a user request in the class with a rank.
+// requestHash is the hash of the user request.
 func PriorityOf(rank int, requestHash uint64) Priority {
 	rank = min(max(rank, 0), rankCount-1)
 	return Priority(rank*bucketsPerRank) + Priority(requestHash%bucketsPerRank)
 }
 
-// Rank returns the rank that a priority belongs to.
+// Rank returns the rank of the class that a priority belongs to.
 func (p Priority) Rank() int {
 	return int(p) / bucketsPerRank
 }
 
-// Level is an admission level: requests with a priority above it are refused.
-// It comes down at once to what the target can drain and opens gradually. The
-// zero Level is open.
+// Level is an admission level: requests with a larger priority number are refused.
+// In an overload it falls at once to what the target can finish; afterwards it
+// rises gradually. The zero Level admits every request.
 type Level struct {
-	// closed counts from LevelOpen down, so that the zero value is open.
-	closed   Priority
-	step     Priority
-	arrivals [LevelOpen + 1]uint16
+	// reduction is the distance of the threshold from LevelOpen, so that the zero
+	// value admits everything.
+	reduction Priority
+	step      Priority
+	arrivals  [LevelOpen + 1]uint16
 }
 
-// Threshold returns the largest priority that is admitted.
+// Threshold returns the largest priority number that is admitted.
 func (l *Level) Threshold() Priority {
-	return LevelOpen - l.closed
+	return LevelOpen - l.reduction
 }
 
-// Admit counts an arrival and reports whether the level lets it pass.
+// Admit counts an arrival and reports whether the level admits it.
 func (l *Level) Admit(p Priority) bool {
 	if l.arrivals[p] < ^uint16(0) {
 		l.arrivals[p]++
@@ -53,13 +57,14 @@
 	return p <= l.Threshold()
 }
 
-// Update ends a window and moves the threshold. In an overload it admits as
-// many of the arrivals as the target can finish in a window.
+// Update ends a window and adjusts the threshold. capacity is the number of
+// requests that the target can finish in a window. In an overload the new
+// threshold admits as many of the window's arrivals as that.
 func (l *Level) Update(overloaded bool, capacity float64) {
 	if overloaded {
 		l.lower(int(math.Ceil(capacity)))
 	} else {
-		l.open(capacity)
+		l.raise(capacity)
 	}
 	l.arrivals = [LevelOpen + 1]uint16{}
 }
@@ -75,25 +80,25 @@
 		}
 		next = p
 	}
-	l.closed = LevelOpen - next
+	l.reduction = LevelOpen - next
 }
 
-// open raises the threshold by a step, or in proportion to the capacity that
-// the admitted arrivals left unused.
-func (l *Level) open(capacity float64) {
-	if l.closed == 0 {
+// raise increases the threshold by a step, or by more in proportion to the capacity
+// that the admitted arrivals left unused.
+func (l *Level) raise(capacity float64) {
+	if l.reduction == 0 {
 		return
 	}
-	l.step = max(2*l.step, firstOpenStep)
+	l.step = max(2*l.step, firstRaiseStep)
 	step := l.step
 	if admitted := l.admitted(); admitted > 0 && capacity > admitted {
-		ratio := min(capacity/admitted, maxOpenRatio)
+		ratio := min(capacity/admitted, maxRaiseRatio)
 		step = max(step, Priority(float64(l.Threshold())*(ratio-1)))
 	}
-	l.closed -= min(step, l.closed)
+	l.reduction -= min(step, l.reduction)
 }
 
-// admitted counts the arrivals of the window that the threshold let pass.
+// admitted counts the arrivals of the window up to the threshold.
 func (l *Level) admitted() float64 {
 	n := 0
 	for p := Priority(0); p <= l.Threshold(); p++ {
--- a/wharf/wharfadmission/limiter_test.go
+++ b/wharf/wharfadmission/limiter_test.go
@@ -8,14 +8,14 @@
 	"github.com/matryer/is"
 )
 
-// fakeTarget answers in a service time, and queues what exceeds its true
-// capacity.
+// fakeTarget simulates a target that needs the service time per request and queues
+// requests beyond its capacity.
 type fakeTarget struct {
 	capacity int
 	service  time.Duration
 }
 
-// run keeps the target busy at its limit in virtual time, and returns the
+// run keeps the target busy at the limit in virtual time and returns the number of
 // requests that it finished per second.
 func (f fakeTarget) run(l Limiter, now *time.Time, span time.Duration) float64 {
 	rng := rand.New(rand.NewPCG(3, 4))
@@ -36,20 +36,21 @@
 
 const testSlots = 100
 
-// course is what a limiter does over healthy, narrow and slow phases.
-type course struct {
-	cold, warm, narrow, recovered int
-	slowRate                      float64
+// phaseResults holds the limits and the rate of a limiter after phases in which the
+// target is healthy, has a tenth of its capacity, or is slow.
+type phaseResults struct {
+	initial, warm, reduced, recovered int
+	slowRate                          float64
 }
 
-func courseOf(l Limiter) course {
+func runPhases(l Limiter) phaseResults {
 	now := epoch
-	c := course{cold: l.Limit()}
+	c := phaseResults{initial: l.Limit()}
 	healthy := fakeTarget{testSlots, 10 * time.Millisecond}
 	healthy.run(l, &now, 3*time.Second)
 	c.warm = l.Limit()
 	fakeTarget{testSlots / 10, 10 * time.Millisecond}.run(l, &now, 2*time.Second)
-	c.narrow = l.Limit()
+	c.reduced = l.Limit()
 	healthy.run(l, &now, 5*time.Second)
 	c.recovered = l.Limit()
 	slow := fakeTarget{testSlots, 100 * time.Millisecond}
@@ -60,19 +61,19 @@
 
 func TestAIMDFollowsTarget(t *testing.T) {
 	is := is.New(t)
-	c := courseOf(NewAIMD(testSlots))
+	c := runPhases(NewAIMD(testSlots))
 	t.Logf("%+v", c)
-	is.True(c.cold <= testSlots/4)
+	is.True(c.initial <= testSlots/4)
 	is.True(c.warm >= testSlots*9/10)
-	is.True(c.narrow <= testSlots/10*3)
+	is.True(c.reduced <= testSlots/10*3)
 	is.True(c.recovered >= testSlots*9/10)
-	is.True(c.slowRate >= 900) // 1000/s is all that the slow target can do
+	is.True(c.slowRate >= 900) // the slow target can finish 1000/s
 }
 
-// TestGradientLosesCapacity shows what the variant that was not chosen does
-// with a target that is slow by itself.
+// TestGradientLosesCapacity shows why AIMD is preferred: Gradient loses capacity at
+// a target that is slow for a reason other than the number of its requests.
 func TestGradientLosesCapacity(t *testing.T) {
-	c := courseOf(NewGradient(testSlots))
+	c := runPhases(NewGradient(testSlots))
 	t.Logf("%+v", c)
 	is.New(t).True(c.slowRate < 900 || c.warm < testSlots*9/10)
 }
@@ -90,9 +91,10 @@
 	is.True(l.Limit() < before/2)
 }
 
-// TestUnseenClassDoesNotCutLimit lets a class that was not seen while its
-// target slowed down come back afterwards.
-func TestUnseenClassDoesNotCutLimit(t *testing.T) {
+// TestClassWithoutSamplesDoesNotDecreaseLimit guards against a stale baseline: a
+// class has no samples while its target slows down, and its later samples must not
+// look like congestion.
+func TestClassWithoutSamplesDoesNotDecreaseLimit(t *testing.T) {
 	is := is.New(t)
 	l := NewAIMD(testSlots)
 	now := epoch
@@ -112,7 +114,7 @@
 	}
 }
 
-func TestWithdrawnSaysNothing(t *testing.T) {
+func TestCancelledSamplesAreIgnored(t *testing.T) {
 	is := is.New(t)
 	l := NewAIMD(100)
 	before := l.Limit()
@@ -122,7 +124,7 @@
 	is.Equal(l.Limit(), before)
 }
 
-func TestLevelComesDownAtOnceAndOpensGradually(t *testing.T) {
+func TestLevelFallsAtOnceAndRisesGradually(t *testing.T) {
 	is := is.New(t)
 	var l Level
 	for i := range uint64(1000) {
@@ -132,7 +134,7 @@
 	l.Update(true, 475)
 	is.Equal(l.Threshold().Rank(), 0)
 	share := float64(l.Threshold()) / bucketsPerRank
-	is.True(share > 0.4 && share < 0.5) // 475 of the first thousand
+	is.True(share > 0.4 && share < 0.5) // 475 of the 1000 arrivals of rank 0
 	windows := 0
 	for ; l.Threshold() < LevelOpen; windows++ {
 		l.Update(false, 475)
--- a/wharf/wharfadmission/queue.go
+++ b/wharf/wharfadmission/queue.go
@@ -2,21 +2,21 @@
 
 import "time"
 
-// Ticket is a request that asks for a slot of a target.
+// Ticket describes a request for a slot of a target.
 type Ticket struct {
 	ID   uint64
 	Rank int
-	// Depth is the number of hops that have already worked for the request.
+	// Depth is the number of hops that have already worked on the user request.
 	Depth    int
 	Priority Priority
 	Arrived  time.Time
 	Deadline time.Time
-	// Objective is the time from the arrival in which an answer has its full
-	// value, zero if none is known.
+	// Objective is the time after the arrival within which a response has its full
+	// value. It is zero if no objective is known.
 	Objective time.Duration
 }
 
-// due returns when an answer loses a part of its value.
+// due returns the time after which a response loses a part of its value.
 func (t Ticket) due() time.Time {
 	if t.Objective == 0 {
 		return t.Deadline
@@ -24,26 +24,27 @@
 	return t.Arrived.Add(t.Objective)
 }
 
-// Order says which of two waiting requests of one class and depth goes first.
+// Order is the order in which waiting requests run.
 type Order uint8
 
 // Orders of a queue.
 const (
-	// Adaptive is first-in-first-out, and last-in-first-out while the queue
-	// stands, so that at least some requests are answered in time.
+	// Adaptive is adaptive LIFO: requests of one class and depth run
+	// first-in-first-out, but last-in-first-out while there is a standing queue, so
+	// that at least some requests are answered in time.
 	Adaptive Order = iota
-	// FIFO is first-in-first-out at all times.
+	// FIFO always runs requests of one class and depth first-in-first-out.
 	FIFO
-	// Objective runs first, within a class, what loses a part of its value first.
-	// It is for targets whose fresh work is held back by Backpressure, so that
-	// the queue stays short.
+	// Objective runs, within a class, the request first whose response loses a
+	// part of its value first. It is for targets with Backpressure, which rejects
+	// client requests and so keeps the queue short.
 	Objective
 	// Arrival ignores class and depth and drops the newest request. It is the
-	// baseline that the other orders are measured against.
+	// baseline for comparisons with the other orders.
 	Arrival
 )
 
-// queue holds waiting tickets. It is short, so it is searched in a line.
+// queue holds the waiting tickets. It is short, so a linear search is enough.
 type queue struct {
 	tickets []Ticket
 }
@@ -56,13 +57,13 @@
 	q.tickets = append(q.tickets, t)
 }
 
-// ranking compares waiting tickets under an order.
+// ranking compares waiting tickets by an order.
 type ranking struct {
-	order    Order
-	standing bool
+	order         Order
+	standingQueue bool
 }
 
-// before reports whether a runs earlier than b.
+// before reports whether a runs before b.
 func (r ranking) before(a, b Ticket) bool {
 	if r.order == Arrival {
 		return a.Arrived.Before(b.Arrived)
@@ -76,13 +77,13 @@
 	if a.Depth != b.Depth {
 		return a.Depth > b.Depth
 	}
-	if r.order == Adaptive && r.standing {
+	if r.order == Adaptive && r.standingQueue {
 		return a.Arrived.After(b.Arrived)
 	}
 	return a.Arrived.Before(b.Arrived)
 }
 
-// first returns the index of the ticket that runs next, -1 if none waits.
+// first returns the index of the ticket that runs next, -1 if the queue is empty.
 func (q *queue) first(r ranking) int {
 	best := -1
 	for i, t := range q.tickets {
@@ -93,7 +94,7 @@
 	return best
 }
 
-// last returns the index of the least important ticket, -1 if none waits.
+// last returns the index of the ticket that is shed first, -1 if the queue is empty.
 func (q *queue) last(r ranking) int {
 	worst := -1
 	for i, t := range q.tickets {
@@ -122,7 +123,7 @@
 	return false
 }
 
-// lowestRank returns the largest rank that waits, -1 if none waits.
+// lowestRank returns the largest rank in the queue, -1 if the queue is empty.
 func (q *queue) lowestRank() int {
 	rank := -1
 	for _, t := range q.tickets {
--- a/wharf/wharfadmission/retryafter.go
+++ b/wharf/wharfadmission/retryafter.go
@@ -3,35 +3,37 @@
 import "time"
 
 const (
-	// drainWeight smooths the drain rate.
+	// drainWeight is the weight of a new value in the moving average of the drain
+	// rate.
 	drainWeight = 0.3
-	// drainWindow is the time over which the drain rate is counted.
+	// drainWindow is the shortest time over which the drain rate is measured.
 	drainWindow = 200 * time.Millisecond
 
 	minRetryAfter = 50 * time.Millisecond
 	maxRetryAfter = 10 * time.Second
-	// retryJitter is the share by which advice is spread.
+	// retryJitter is the largest jitter as a share of a retry-after hint.
 	retryJitter = 0.5
 )
 
-// AddJitter returns a later time to come back at by a random number from 0 to
-// 1, so that callers don't come back together.
-func AddJitter(advice time.Duration, random float64) time.Duration {
-	return advice + time.Duration(random*retryJitter*float64(advice))
+// AddJitter lengthens a retry-after hint by a jitter that is proportional to random,
+// a number from 0 to 1, so that callers don't all retry at the same time.
+func AddJitter(hint time.Duration, random float64) time.Duration {
+	return hint + time.Duration(random*retryJitter*float64(hint))
 }
 
-// RetryAfter advises a caller when a slot is likely, from the drain rate.
+// RetryAfter returns a retry-after hint: the time until a slot is likely to be
+// free, estimated from the drain rate.
 func (g *Gate) RetryAfter() time.Duration {
-	advice := minRetryAfter
+	hint := minRetryAfter
 	if g.drainRate > 0 {
 		seconds := float64(g.queue.len()+1) / g.drainRate
-		advice = time.Duration(seconds * float64(time.Second))
+		hint = time.Duration(seconds * float64(time.Second))
 	}
-	advice = min(max(advice, minRetryAfter), maxRetryAfter)
+	hint = min(max(hint, minRetryAfter), maxRetryAfter)
 	if g.cfg.Rand == nil {
-		return advice
+		return hint
 	}
-	return AddJitter(advice, g.cfg.Rand.Float64())
+	return AddJitter(hint, g.cfg.Rand.Float64())
 }
 
 func (g *Gate) measureDrain(now time.Time) {
--- a/wharf/wharfadmission/window.go
+++ b/wharf/wharfadmission/window.go
@@ -3,18 +3,21 @@
 import "time"
 
 const (
-	// standingDelay is the least wait in a window that means a standing queue.
+	// standingDelay defines a standing queue, as in CoDel: even the shortest wait
+	// in a window is longer than standingDelay.
 	standingDelay = 20 * time.Millisecond
-	// minEvaluationWindow is the least time between two decisions on queue and level;
-	// it grows with the time that a request holds its slot, up to a second.
+	// minEvaluationWindow is the shortest time between two evaluations of queue
+	// and level. The window grows with the service time, up to
+	// maxEvaluationWindow.
 	minEvaluationWindow = 200 * time.Millisecond
 	maxEvaluationWindow = time.Second
-	// maxIdleWindows bounds the windows that are made up for after a quiet time.
+	// maxIdleWindows bounds the number of windows that are evaluated after a time
+	// without events.
 	maxIdleWindows = 16
 )
 
-// advanceWindows ends the windows in which the queue is judged. Windows without any
-// event were calm.
+// advanceWindows evaluates the windows that have ended. The windows after the first
+// had no events; they count as uncongested unless requests are waiting.
 func (g *Gate) advanceWindows(now time.Time) {
 	if g.windowStart.IsZero() {
 		g.windowStart = now
@@ -30,33 +33,35 @@
 	g.windowStart = now
 }
 
-// evaluateWindow decides whether the queue stands and moves the level.
+// evaluateWindow decides whether there is a standing queue, adjusts the level and
+// begins a new window.
 func (g *Gate) evaluateWindow() {
-	if !g.waitSeen && g.queue.len() > 0 {
-		// Nothing left the queue in the window: everything waited longer.
+	if !g.waitRecorded && g.queue.len() > 0 {
+		// No request left the queue in the window, so the shortest wait counts as a
+		// whole window.
 		g.shortestWait = g.window()
 	}
-	g.standing = g.shortestWait > standingDelay
+	g.standingQueue = g.shortestWait > standingDelay
 	if g.cfg.Levels {
-		g.level.Update(g.standing || g.refusedFull, g.capacity())
+		g.level.Update(g.standingQueue || g.queueOverflowed, g.capacity())
 	}
 	g.shortestWait = 0
-	g.waitSeen = false
-	g.refusedFull = false
+	g.waitRecorded = false
+	g.queueOverflowed = false
 }
 
-// window returns the time between two decisions on queue and level.
+// window returns the time between two evaluations of queue and level.
 func (g *Gate) window() time.Duration {
-	hold := time.Duration(g.hold * float64(time.Second))
-	return min(max(hold, minEvaluationWindow), maxEvaluationWindow)
+	serviceTime := time.Duration(g.serviceTime * float64(time.Second))
+	return min(max(serviceTime, minEvaluationWindow), maxEvaluationWindow)
 }
 
-// capacity returns how many requests the target can finish in a window. It
-// follows from the limit and not from what was finished, which is less while
-// too little is admitted.
+// capacity returns how many requests the target can finish in a window. It is
+// computed from the limit and not from the number of finished requests, which is
+// lower while too few requests are admitted.
 func (g *Gate) capacity() float64 {
-	if g.hold == 0 {
+	if g.serviceTime == 0 {
 		return float64(g.cfg.Limiter.Limit())
 	}
-	return float64(g.cfg.Limiter.Limit()) / g.hold * g.window().Seconds()
+	return float64(g.cfg.Limiter.Limit()) / g.serviceTime * g.window().Seconds()
 }
