--- a/wharf/wharfbudget/budget_test.go
+++ b/wharf/wharfbudget/budget_test.go
@@ -10,10 +10,11 @@
 	_ "ragwortwharf.dev/wharf/internal/wharfseed"
 )
 
-// handDown decides how many attempts one attempt hands down.
-type handDown func(g Grant) (rest Grant, handedDown int, ok bool)
+// attemptFunc takes one attempt from a grant and delegates a part of the rest.
+type attemptFunc func(g Grant) (rest Grant, delegated int, ok bool)
 
-// copyGrant is the naive decision: each hop hands its whole grant down.
+// copyGrant is a naive attemptFunc: it delegates the rest without reducing the grant
+// by it.
 func copyGrant(g Grant) (Grant, int, bool) {
 	if g.left < 1 {
 		return g, 0, false
@@ -21,12 +22,12 @@
 	return Grant{left: g.left - 1}, g.left - 1, true
 }
 
-// spread runs a random call tree in which every hop retries and calls on, and
-// counts the attempts. Lost answers return nothing.
-func spread(t *rapid.T, take handDown, g Grant, depth int, attempts *int) Grant {
+// runRandomTree simulates a random call tree in which every hop retries and calls
+// further hops, and counts the attempts. Lost responses return nothing.
+func runRandomTree(t *rapid.T, withAttempt attemptFunc, g Grant, depth int, attempts *int) Grant {
 	tries := rapid.IntRange(0, 4).Draw(t, "tries")
 	for range tries {
-		rest, down, ok := take(g)
+		rest, delegated, ok := withAttempt(g)
 		if !ok {
 			return g
 		}
@@ -34,13 +35,13 @@
 		if *attempts > 4*DefaultAttempts {
 			return rest
 		}
-		left := NewGrant(down)
+		left := NewGrant(delegated)
 		if depth > 0 {
-			left = spread(t, take, left, depth-1, attempts)
+			left = runRandomTree(t, withAttempt, left, depth-1, attempts)
 		}
 		g = rest
 		if rapid.Bool().Draw(t, "answered") {
-			g = g.WithReturned(down, left.Left())
+			g = g.WithReturned(delegated, left.Left())
 		}
 	}
 	return g
@@ -50,32 +51,33 @@
 	rapid.Check(t, func(t *rapid.T) {
 		root := rapid.IntRange(0, DefaultAttempts).Draw(t, "root")
 		attempts := 0
-		spread(t, Grant.WithAttempt, NewGrant(root), 9, &attempts)
+		runRandomTree(t, Grant.WithAttempt, NewGrant(root), 9, &attempts)
 		if attempts > root {
 			t.Fatalf("%d attempts for a grant of %d", attempts, root)
 		}
 	})
 }
 
-// TestCopiedGrantBreaksBound shows that the property above has teeth.
+// TestCopiedGrantBreaksBound checks that the bound of
+// TestAttemptsStayWithinRootGrant can fail: copied grants exceed it.
 func TestCopiedGrantBreaksBound(t *testing.T) {
 	attempts := 0
 	var chain func(g Grant, depth int)
 	chain = func(g Grant, depth int) {
 		for range 2 {
-			_, down, ok := copyGrant(g)
+			_, delegated, ok := copyGrant(g)
 			if !ok || depth == 0 {
 				return
 			}
 			attempts++
-			chain(NewGrant(down), depth-1)
+			chain(NewGrant(delegated), depth-1)
 		}
 	}
 	chain(NewGrant(8), 5)
 	is.New(t).True(attempts > 8)
 }
 
-func TestChainWithoutFaultsNeverDies(t *testing.T) {
+func TestChainWithoutFaultsStaysWithinGrant(t *testing.T) {
 	tests := []struct {
 		name  string
 		depth int
@@ -92,21 +94,22 @@
 	}
 }
 
-// walk makes width calls in sequence at each hop; answers return the rest.
+// walk makes width calls in sequence at each hop. Each response returns the unused
+// attempts.
 func walk(g Grant, depth, width int) (Grant, bool) {
 	if depth == 0 {
 		return g, true
 	}
 	for range width {
-		rest, down, ok := g.WithAttempt()
+		rest, delegated, ok := g.WithAttempt()
 		if !ok {
 			return g, false
 		}
-		left, ok := walk(NewGrant(down), depth-1, width)
+		left, ok := walk(NewGrant(delegated), depth-1, width)
 		if !ok {
 			return g, false
 		}
-		g = rest.WithReturned(down, left.Left())
+		g = rest.WithReturned(delegated, left.Left())
 	}
 	return g, true
 }
@@ -117,23 +120,23 @@
 	_, ok := l.Take(7)
 	is.True(!ok) // an unknown grant creates no attempts
 	l.Open(7, ServedCall{Grant: NewGrant(3)})
-	down, ok := l.Take(7)
+	delegated, ok := l.Take(7)
 	is.True(ok)
-	is.Equal(down, 2)
+	is.Equal(delegated, 2)
 	_, ok = l.Take(7)
 	is.True(!ok)
-	l.Return(7, down, 100)
-	is.Equal(l.Close(7).Grant.Left(), 2) // a peer returns no more than it was handed
+	l.Return(7, delegated, 100)
+	is.Equal(l.Close(7).Grant.Left(), 2) // a peer can return no more than was delegated to it
 	is.Equal(l.Len(), 0)
 }
 
-func TestLedgerMeasuresTimeBelow(t *testing.T) {
+func TestLedgerMeasuresDownstreamTime(t *testing.T) {
 	is := is.New(t)
 	var l Ledger
 	at := func(ms int) time.Time { return time.Unix(0, 0).Add(time.Duration(ms) * time.Millisecond) }
 	l.Open(1, ServedCall{})
 	l.CallBegins(at(10), 1)
-	l.CallBegins(at(20), 1) // two calls side by side count once
+	l.CallBegins(at(20), 1) // concurrent calls count once
 	l.CallEnds(at(40), 1, DownstreamResult{LevelReduction: 3})
 	l.CallEnds(at(50), 1, DownstreamResult{Refused: true, LevelReduction: 1})
 	l.CallBegins(at(70), 1)
@@ -144,7 +147,7 @@
 	is.Equal(e.LevelReduction, uint16(3))
 }
 
-func TestRetryRatio(t *testing.T) {
+func TestRetryBudget(t *testing.T) {
 	is := is.New(t)
 	var b RetryBudget
 	allowed := 0
@@ -166,7 +169,7 @@
 	l.Open(1, ServedCall{Grant: NewGrant(64)})
 	b.ReportAllocs()
 	for b.Loop() {
-		down, _ := l.Take(1)
-		l.Refund(1, down)
+		delegated, _ := l.Take(1)
+		l.Refund(1, delegated)
 	}
 }
--- a/wharf/wharfbudget/grant.go
+++ b/wharf/wharfbudget/grant.go
@@ -1,20 +1,21 @@
 package wharfbudget
 
-// DefaultAttempts is the grant of a user request whose rules name none.
+// DefaultAttempts is the grant of a user request for which the rules set none.
 const DefaultAttempts = 64
 
-// The part of the remaining attempts that an attempt hands down.
+// The fraction of the remaining attempts that an attempt delegates, rounded up.
 const (
-	handDownNumerator   = 3
-	handDownDenominator = 4
+	delegatedNumerator   = 3
+	delegatedDenominator = 4
 )
 
-// Grant counts the attempts that one hop has left. The zero Grant allows none.
+// Grant is the number of attempts that one hop has left. The zero Grant allows
+// none.
 type Grant struct {
 	left int
 }
 
-// NewGrant returns a grant of n attempts.
+// NewGrant returns a grant of n attempts. A negative n counts as zero.
 func NewGrant(n int) Grant {
 	return Grant{left: max(n, 0)}
 }
@@ -24,26 +25,28 @@
 	return g.left
 }
 
-// WithAttempt takes one attempt and the part that it hands down. It is false
-// if nothing is left.
-func (g Grant) WithAttempt() (rest Grant, handedDown int, ok bool) {
+// WithAttempt returns the grant that remains after one attempt and the number of
+// attempts that this attempt delegates to the next hop. ok is false if no attempts
+// are left.
+func (g Grant) WithAttempt() (rest Grant, delegated int, ok bool) {
 	if g.left < 1 {
 		return g, 0, false
 	}
 	remaining := g.left - 1
-	handedDown = (remaining*handDownNumerator + handDownDenominator - 1) / handDownDenominator
-	return Grant{left: remaining - handedDown}, handedDown, true
+	delegated = (remaining*delegatedNumerator + delegatedDenominator - 1) / delegatedDenominator
+	return Grant{left: remaining - delegated}, delegated, true
 }
 
-// WithReturned adds the attempts that an answer brought back. A peer can
-// return no more than it was handed.
-func (g Grant) WithReturned(handedDown, returned int) Grant {
-	g.left += min(max(returned, 0), handedDown)
+// WithReturned returns the grant with the attempts that a response returned. A peer
+// can return no more attempts than were delegated to it.
+func (g Grant) WithReturned(delegated, returned int) Grant {
+	g.left += min(max(returned, 0), delegated)
 	return g
 }
 
-// WithRefund takes back an attempt that never left this node.
-func (g Grant) WithRefund(handedDown int) Grant {
-	g.left += handedDown + 1
+// WithRefund returns the grant with an attempt that was never sent, and with the
+// attempts that it delegated.
+func (g Grant) WithRefund(delegated int) Grant {
+	g.left += delegated + 1
 	return g
 }
--- a/wharf/wharfbudget/ledger.go
+++ b/wharf/wharfbudget/ledger.go
@@ -7,36 +7,37 @@
 
 const ledgerShards = 64
 
-// GrantID names a grant in the ledger of the node that issued it.
+// GrantID identifies a grant in the ledger of the node that issued it.
 type GrantID uint64
 
-// ServedCall is what a node remembers of a call that its target is serving.
+// ServedCall is the record of a call that a node's target is serving.
 type ServedCall struct {
 	Grant Grant
-	// Deadline ends the call and all that it calls.
+	// Deadline applies to the call and to all its downstream calls.
 	Deadline time.Time
-	// Request, Class and Depth are those of the call being served.
+	// Request, Class and Depth are the request id, class and depth of the call.
 	Request string
 	Class   string
 	Depth   int
-	// Retried says that a call below failed after it was tried again.
+	// Retried reports whether a downstream call failed after a retry.
 	Retried bool
-	// DownstreamRefused says that a call below was refused or failed, so that a
-	// refusal of this call says nothing of its own target.
+	// DownstreamRefused reports whether a downstream call was refused or failed.
+	// Then a refusal of this call is no evidence against its own target.
 	DownstreamRefused bool
-	// DownstreamTime is the time in which at least one call below was under way, and
-	// downstreamCalls and downstreamSince describe the calls that are.
+	// DownstreamTime is the time during which at least one downstream call was in
+	// flight. downstreamCalls counts the calls in flight, and downstreamSince is
+	// the time since which there has been at least one.
 	DownstreamTime  time.Duration
 	downstreamCalls int
 	downstreamSince time.Time
-	// LevelReduction is how far the lowest admission level that the calls below have
-	// met is from an open one.
+	// LevelReduction is the distance from LevelOpen of the lowest admission level
+	// that the downstream calls have met.
 	LevelReduction uint16
 }
 
-// Ledger keeps the grants of the calls that a node's target is serving. A
-// call made for an unknown grant is refused, so a node that lost its memory
-// can't create attempts. The zero Ledger is ready to use.
+// Ledger holds the grants of the calls that a node's target is serving. An attempt
+// under an unknown grant is refused, so a node that lost its memory can't create
+// attempts. The zero Ledger is ready to use. A Ledger is safe for concurrent use.
 type Ledger struct {
 	shards [ledgerShards]ledgerShard
 }
@@ -50,7 +51,7 @@
 	return &l.shards[uint64(id)%ledgerShards]
 }
 
-// Open stores the entry of a call that starts.
+// Open stores the record of a call that starts.
 func (l *Ledger) Open(id GrantID, e ServedCall) {
 	s := l.shard(id)
 	s.mu.Lock()
@@ -61,7 +62,7 @@
 	s.entries[id] = e
 }
 
-// Get returns the entry of a call that is being served.
+// Get returns the record of a call. It returns false if the call isn't being served.
 func (l *Ledger) Get(id GrantID) (ServedCall, bool) {
 	s := l.shard(id)
 	s.mu.Lock()
@@ -70,8 +71,9 @@
 	return e, ok
 }
 
-// Take spends one attempt of a grant and returns the part handed down.
-func (l *Ledger) Take(id GrantID) (handedDown int, ok bool) {
+// Take takes one attempt from a grant and returns the number of attempts that it
+// delegates. ok is false if the grant is unknown or has no attempts left.
+func (l *Ledger) Take(id GrantID) (delegated int, ok bool) {
 	s := l.shard(id)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -79,31 +81,32 @@
 	if !found {
 		return 0, false
 	}
-	e.Grant, handedDown, ok = e.Grant.WithAttempt()
+	e.Grant, delegated, ok = e.Grant.WithAttempt()
 	s.entries[id] = e
-	return handedDown, ok
+	return delegated, ok
 }
 
-// Return gives back what an attempt did not use. Nothing happens if the call
-// has already ended, because its grant was settled then.
-func (l *Ledger) Return(id GrantID, handedDown, returned int) {
-	l.update(id, func(e *ServedCall) { e.Grant = e.Grant.WithReturned(handedDown, returned) })
+// Return adds the attempts that a response returned. It does nothing if the call
+// has already ended, because Close has already returned its grant.
+func (l *Ledger) Return(id GrantID, delegated, returned int) {
+	l.update(id, func(e *ServedCall) { e.Grant = e.Grant.WithReturned(delegated, returned) })
 }
 
-// Refund takes back an attempt that was never sent.
-func (l *Ledger) Refund(id GrantID, handedDown int) {
-	l.update(id, func(e *ServedCall) { e.Grant = e.Grant.WithRefund(handedDown) })
+// Refund adds an attempt that was never sent, and the attempts that it delegated.
+// It does nothing if the call has already ended.
+func (l *Ledger) Refund(id GrantID, delegated int) {
+	l.update(id, func(e *ServedCall) { e.Grant = e.Grant.WithRefund(delegated) })
 }
 
-// DownstreamResult is what a call below has met.
+// DownstreamResult is the result of a downstream call.
 type DownstreamResult struct {
 	Retried bool
 	Refused bool
-	// LevelReduction is how far the admission level was from an open one.
+	// LevelReduction is the distance of the admission level from LevelOpen.
 	LevelReduction uint16
 }
 
-// CallBegins records that a call below is under way.
+// CallBegins records the start of a downstream call.
 func (l *Ledger) CallBegins(now time.Time, id GrantID) {
 	l.update(id, func(e *ServedCall) {
 		if e.downstreamCalls == 0 {
@@ -113,20 +116,20 @@
 	})
 }
 
-// CallEnds records the end of a call below and what it has met.
-func (l *Ledger) CallEnds(now time.Time, id GrantID, m DownstreamResult) {
+// CallEnds records the end and the result of a downstream call.
+func (l *Ledger) CallEnds(now time.Time, id GrantID, r DownstreamResult) {
 	l.update(id, func(e *ServedCall) {
 		e.downstreamCalls--
 		if e.downstreamCalls == 0 {
 			e.DownstreamTime += now.Sub(e.downstreamSince)
 		}
-		e.Retried = e.Retried || m.Retried
-		e.DownstreamRefused = e.DownstreamRefused || m.Refused
-		e.LevelReduction = max(e.LevelReduction, m.LevelReduction)
+		e.Retried = e.Retried || r.Retried
+		e.DownstreamRefused = e.DownstreamRefused || r.Refused
+		e.LevelReduction = max(e.LevelReduction, r.LevelReduction)
 	})
 }
 
-// update changes the entry of a call that hasn't ended.
+// update changes the record of a call that has not ended.
 func (l *Ledger) update(id GrantID, change func(e *ServedCall)) {
 	s := l.shard(id)
 	s.mu.Lock()
@@ -139,7 +142,8 @@
 	s.entries[id] = e
 }
 
-// Close ends a call and returns its last entry.
+// Close removes the record of a call and returns it. It returns a zero ServedCall if
+// the call isn't being served.
 func (l *Ledger) Close(id GrantID) ServedCall {
 	s := l.shard(id)
 	s.mu.Lock()
--- a/wharf/wharfbudget/repeatcounter_test.go
+++ b/wharf/wharfbudget/repeatcounter_test.go
@@ -7,10 +7,10 @@
 	"pgregory.net/rapid"
 )
 
-// TestRepeatsKeepLimitOverNodes splits any traffic over any number of nodes that
-// repeat whatever they may. In every window all of them together stay within the
-// limit. Requests are counted in the window and the one before it.
-func TestRepeatsKeepLimitOverNodes(t *testing.T) {
+// TestRepeatLimitHoldsOverAllNodes splits random traffic over a number of nodes that
+// repeat as many requests as they may. In every window all nodes together must stay
+// within the limit. Requests count if they fall into the window or the one before.
+func TestRepeatLimitHoldsOverAllNodes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := RepeatLimit{Ratio: 0.2, Slack: rapid.IntRange(0, 60).Draw(t, "slack"), Window: 10 * time.Second}
 		nodes := make([]RepeatCounter, rapid.IntRange(1, 40).Draw(t, "nodes"))
@@ -31,16 +31,16 @@
 			}
 		}
 		for _, end := range repeats {
-			inWindow := within(repeats, end.Add(-limit.Window), end)
-			asked := within(requests, end.Add(-2*limit.Window), end)
-			if bound := limit.Ratio*float64(asked) + float64(limit.Slack); float64(inWindow) > bound {
+			inWindow := countWithin(repeats, end.Add(-limit.Window), end)
+			requested := countWithin(requests, end.Add(-2*limit.Window), end)
+			if bound := limit.Ratio*float64(requested) + float64(limit.Slack); float64(inWindow) > bound {
 				t.Fatalf("%d repeats in a window, %f allowed", inWindow, bound)
 			}
 		}
 	})
 }
 
-func within(times []time.Time, from, to time.Time) int {
+func countWithin(times []time.Time, from, to time.Time) int {
 	n := 0
 	for _, at := range times {
 		if at.After(from) && !at.After(to) {
--- a/wharf/wharfbudget/retry.go
+++ b/wharf/wharfbudget/retry.go
@@ -7,21 +7,21 @@
 	"ragwortwharf.dev/wharf/wharfoutcome"
 )
 
-// Failure is what a hop knows when an attempt has failed.
+// Failure describes a failed attempt as its sender knows it.
 type Failure struct {
 	Outcome    wharfoutcome.Outcome
 	Idempotent bool
-	// Retried says that a hop below has already tried again.
+	// Retried reports whether a downstream hop has already retried.
 	Retried bool
-	// BodyConsumed says that the body was streamed and can't be sent again.
+	// BodyConsumed reports whether the body was streamed and can't be sent again.
 	BodyConsumed bool
-	// Suspected says that the request was in flight in a crash.
+	// Suspected reports whether the request was in flight during a crash.
 	Suspected bool
-	// NoAlternative says that no other target would take the request.
+	// NoAlternative reports whether no other target would accept the request.
 	NoAlternative bool
 }
 
-// finalReasons lists refusals that hold wherever the request is sent.
+// finalReasons lists the reasons of refusals that every target would repeat.
 var finalReasons = []wharfoutcome.Reason{
 	wharfoutcome.ReasonDeadline,
 	wharfoutcome.ReasonOverloadBelow,
@@ -33,8 +33,8 @@
 	wharfoutcome.ReasonCancelled,
 }
 
-// MayRetry decides whether the hop right above a failure may try again,
-// attempts, deadline and retry ratio permitting.
+// MayRetry reports whether the hop that sent a failed attempt may retry, as far as
+// the failure is concerned. Grant, deadline and retry budget can still forbid it.
 func MayRetry(f Failure) bool {
 	if f.Outcome.Kind == wharfoutcome.Completed || f.Retried || f.BodyConsumed || f.Suspected || f.NoAlternative {
 		return false
@@ -52,8 +52,8 @@
 	backoffMax  = 200 * time.Millisecond
 )
 
-// Backoff returns the pause before the n-th retry, counted from one, with
-// full jitter.
+// Backoff returns the pause before the n-th retry, counted from one: exponential
+// backoff up to backoffMax with full jitter.
 func Backoff(rng *rand.Rand, n int) time.Duration {
 	ceiling := min(backoffBase<<min(n, 10), backoffMax)
 	return time.Duration(rng.Int64N(int64(ceiling)))
