--- a/wharfnode/internal/wharfcluster/agent.go
+++ b/wharfnode/internal/wharfcluster/agent.go
@@ -19,27 +19,28 @@
 	"ragwortwharf.dev/wharfnode/wharfevents"
 )
 
-// logClient is the platform's log as the mesh uses it.
+// logClient appends to and reads from the streams of the platform's log.
 type logClient interface {
 	Append(ctx context.Context, stream string, data []byte) (uint64, error)
 	Read(ctx context.Context, stream string, from uint64, limit int, wait time.Duration) (wharfstream.Batch, error)
 }
 
-// directory is where nodes find each other.
+// directory lists the nodes, so that nodes can find each other.
 type directory interface {
 	Seeds(ctx context.Context) ([]string, error)
 	Enter(ctx context.Context, self wharfmember.Member) error
-	Remove(ctx context.Context, ended wharfmember.Member) error
+	Remove(ctx context.Context, departed wharfmember.Member) error
 }
 
 const (
-	// workers bounds the calls to other nodes that run at a time.
+	// workers bounds the concurrent calls to other nodes.
 	workers = 16
 	// callTimeout bounds one call to another node.
 	callTimeout = time.Second
 )
 
-// Agent ties a node to the others and to the platform's log.
+// Agent connects a node to the other nodes and to the platform's log. Its
+// exported fields are set before Prepare and don't change afterwards.
 type Agent struct {
 	View       *wharfview.View
 	Peers      *wharfpeers.Pool
@@ -48,10 +49,10 @@
 	Quarantine *wharfquarantine.List
 	Keys       *wharfidempotency.KeyStore
 	Directory  directory
-	// OwnsKeys says that this node is a home of keys that callers chose.
+	// OwnsKeys is whether this node owns keys that callers chose.
 	OwnsKeys bool
 	// Readers is how many nodes of a failure domain read the log, and PollWait
-	// how long a read waits for records.
+	// is how long a read waits for new records.
 	Readers          int
 	PollWait         time.Duration
 	SnapshotInterval time.Duration
@@ -61,38 +62,41 @@
 
 	pool  pond.Pool
 	audit auditTrail
-	// urgent asks for a round at once, because there is news.
+	// urgent triggers a gossip round at once. It buffers one request.
 	urgent chan struct{}
-	// releasing says that a planned stop gives up the ownership of keys.
+	// releasing is set when a planned stop begins to release the ownership of
+	// keys.
 	releasing atomic.Bool
 
-	mu         sync.Mutex
-	detector   wharfmember.FailureDetector
-	updates    []memberUpdate
-	departures departedNodes
+	mu       sync.Mutex
+	detector wharfmember.FailureDetector
+	updates  []memberUpdate
+	departed departedNodes
 }
 
-// Prepare makes the mesh ready to be called. It comes before anything else, so
-// that targets may announce themselves and nodes may call before Run.
+// Prepare initializes the agent. It must be called before any other method.
+// Targets can announce themselves and other nodes can call this node between
+// Prepare and Run.
 func (m *Agent) Prepare() {
 	m.pool = pond.NewPool(workers)
 	m.urgent = make(chan struct{}, 1)
 	m.audit.queue = make(chan AuditEntry, auditQueue)
 }
 
-// Run carries the mesh until the context ends.
+// Run runs the loops of the agent until the context ends, and returns after
+// all of them have stopped.
 func (m *Agent) Run(ctx context.Context) {
 	var group sync.WaitGroup
 	loops := []func(context.Context){
-		(&rounds{mesh: m, rng: wharfrandom.New()}).run,
-		(&follower{mesh: m, rng: wharfrandom.New()}).run,
-		(&registration{mesh: m, rng: wharfrandom.New()}).run,
-		(&expiry{mesh: m}).run,
-		(&pauseDetector{mesh: m}).run,
+		(&rounds{agent: m, rng: wharfrandom.New()}).run,
+		(&follower{agent: m, rng: wharfrandom.New()}).run,
+		(&registration{agent: m, rng: wharfrandom.New()}).run,
+		(&expiry{agent: m}).run,
+		(&pauseDetector{agent: m}).run,
 		m.audit.writer(m).run,
 	}
 	if m.OwnsKeys {
-		loops = append(loops, (&ownership{mesh: m}).run, (&snapshots{mesh: m}).run)
+		loops = append(loops, (&ownership{agent: m}).run, (&snapshots{agent: m}).run)
 	}
 	for _, loop := range loops {
 		group.Go(func() { loop(ctx) })
@@ -101,7 +105,7 @@
 	m.pool.StopAndWait()
 }
 
-// TriggerRound asks for a round of exchanges at once.
+// TriggerRound requests a gossip round at once. It doesn't block.
 func (m *Agent) TriggerRound() {
 	select {
 	case m.urgent <- struct{}{}:
--- a/wharfnode/internal/wharfcluster/audit.go
+++ b/wharfnode/internal/wharfcluster/audit.go
@@ -12,19 +12,19 @@
 )
 
 const (
-	// auditQueue bounds the records that wait to be written.
+	// auditQueue bounds the entries that wait to be written.
 	auditQueue = 64
-	// auditInterval is the least time between two appends of a node, so that
-	// all nodes together stay within what the log takes.
+	// auditInterval is the least time between two audit appends of a node, so
+	// that all nodes together stay within the append rate limit of the log.
 	auditInterval = 30 * time.Second
-	// flushTimeout bounds the last append of a planned stop, which must not outlast
-	// the time that the platform leaves to a process.
+	// flushTimeout bounds the last append at a planned stop, which must end
+	// within the time that the platform grants a process to stop.
 	flushTimeout = 200 * time.Millisecond
-	// maxAuditTries bounds the attempts at one record.
-	maxAuditTries = 10
+	// maxAuditAttempts bounds the attempts to append one record.
+	maxAuditAttempts = 10
 )
 
-// AuditEntry is an act of a node as it stands in the audit stream.
+// AuditEntry is an action of a node, in the form that the audit stream stores.
 type AuditEntry struct {
 	Time    time.Time     `json:"time"`
 	Node    string        `json:"node"`
@@ -32,39 +32,39 @@
 	Details []AuditDetail `json:"details,omitempty"`
 }
 
-// AuditDetail is one detail of an act.
+// AuditDetail is one detail of an action.
 type AuditDetail struct {
 	Name  string `json:"name"`
 	Value string `json:"value"`
 }
 
-// auditTrail takes the acts of the node.
+// auditTrail queues the actions of the node for the audit writer.
 type auditTrail struct {
 	queue chan AuditEntry
 }
 
-// Audit records an act of this node. When too many wait, the act is only in
-// the log of the process.
-func (m *Agent) Audit(act string, details ...wharfevents.Field) {
-	entry := AuditEntry{Time: time.Now(), Node: m.View.Node(), Act: act}
+// Audit queues an action of this node for the audit stream. It doesn't block. If
+// the queue is full, the action is recorded only in the log of the process.
+func (m *Agent) Audit(action string, details ...wharfevents.Field) {
+	entry := AuditEntry{Time: time.Now(), Node: m.View.Node(), Act: action}
 	for _, d := range details {
 		entry.Details = append(entry.Details, AuditDetail{d.Name, fmt.Sprint(d.Value)})
 	}
 	select {
 	case m.audit.queue <- entry:
 	default:
-		m.Log.Emit(wharfevents.AuditUnavailable, wharfevents.Field{Name: "act", Value: act})
+		m.Log.Emit(wharfevents.AuditUnavailable, wharfevents.Field{Name: "act", Value: action})
 	}
 }
 
-// auditWriter appends acts to the audit stream, several in one record.
+// auditWriter appends queued actions to the audit stream, several in one record.
 type auditWriter struct {
-	mesh  *Agent
+	agent *Agent
 	queue <-chan AuditEntry
 }
 
 func (t *auditTrail) writer(m *Agent) *auditWriter {
-	return &auditWriter{mesh: m, queue: t.queue}
+	return &auditWriter{agent: m, queue: t.queue}
 }
 
 func (w *auditWriter) run(ctx context.Context) {
@@ -83,7 +83,7 @@
 	}
 }
 
-// flush writes what waits at a planned stop, once.
+// flush appends the queued entries at a planned stop. It makes only one attempt.
 func (w *auditWriter) flush() {
 	select {
 	case r := <-w.queue:
@@ -94,6 +94,7 @@
 	}
 }
 
+// collect returns an entry followed by all queued entries.
 func (w *auditWriter) collect(first AuditEntry) []AuditEntry {
 	entries := []AuditEntry{first}
 	for {
@@ -106,16 +107,18 @@
 	}
 }
 
+// write appends entries in one record, with exponential backoff between failed
+// attempts.
 func (w *auditWriter) write(ctx context.Context, entries []AuditEntry) {
-	for try := range maxAuditTries {
+	for attempt := range maxAuditAttempts {
 		if w.append(ctx, entries) == nil {
 			return
 		}
-		if !wharftimer.Sleep(ctx, time.Second<<min(try, 5)) {
+		if !wharftimer.Sleep(ctx, time.Second<<min(attempt, 5)) {
 			return
 		}
 	}
-	w.mesh.Log.Emit(wharfevents.AuditUnavailable, wharfevents.Field{Name: "acts", Value: len(entries)})
+	w.agent.Log.Emit(wharfevents.AuditUnavailable, wharfevents.Field{Name: "acts", Value: len(entries)})
 }
 
 func (w *auditWriter) append(ctx context.Context, entries []AuditEntry) error {
@@ -123,7 +126,7 @@
 	if err != nil {
 		return err
 	}
-	_, err = w.mesh.Platform.Append(ctx, wharfstate.AuditStream, data)
-	w.mesh.Metrics.LogAppend(wharfstate.AuditStream, resultName(err))
+	_, err = w.agent.Platform.Append(ctx, wharfstate.AuditStream, data)
+	w.agent.Metrics.LogAppend(wharfstate.AuditStream, resultName(err))
 	return err
 }
--- a/wharfnode/internal/wharfcluster/audit_test.go
+++ b/wharfnode/internal/wharfcluster/audit_test.go
@@ -10,14 +10,14 @@
 	"ragwortwharf.dev/wharf/wharfstream"
 )
 
-// deadlineLog notes how long an append may take.
+// deadlineLog records the time until the deadline of an append.
 type deadlineLog struct {
-	left time.Duration
+	remaining time.Duration
 }
 
 func (l *deadlineLog) Append(ctx context.Context, _ string, _ []byte) (uint64, error) {
 	deadline, _ := ctx.Deadline()
-	l.left = time.Until(deadline)
+	l.remaining = time.Until(deadline)
 	return 0, wharfstream.ErrUnavailable
 }
 
@@ -25,8 +25,9 @@
 	return wharfstream.Batch{}, wharfstream.ErrUnavailable
 }
 
-// TestLastAppendIsShort ends a node whose audit trail still waits for a log that
-// may be away. The stop doesn't wait for it as for other calls.
+// TestLastAppendIsShort guards against a planned stop that waits long for an
+// unavailable log. An audit entry is still queued at the stop; its append gets at
+// most flushTimeout.
 func TestLastAppendIsShort(t *testing.T) {
 	is := is.New(t)
 	log := &deadlineLog{}
@@ -34,6 +35,6 @@
 	m.Prepare()
 	m.audit.queue <- AuditEntry{Act: "node-leaving"}
 	m.audit.writer(m).flush()
-	is.True(log.left > 0)
-	is.True(log.left <= flushTimeout)
+	is.True(log.remaining > 0)
+	is.True(log.remaining <= flushTimeout)
 }
--- a/wharfnode/internal/wharfcluster/doc.go
+++ b/wharfnode/internal/wharfcluster/doc.go
@@ -1,11 +1,13 @@
-// Package wharfcluster is how the nodes act together: it spreads configuration
-// and members between them, follows the platform's log, and keeps the
-// ownership of keys in step with the targets of this node.
+// Package wharfcluster coordinates a node with the other nodes and with the
+// platform's log. It propagates configuration and membership by anti-entropy
+// gossip, follows the log, and keeps the ownership of idempotency keys up to
+// date with the targets of this node.
 //
-// Rounds of exchanges with a few partners carry digests and news (round.go,
-// exchange.go). A few nodes of each failure domain read the log
-// (follower.go); the others get its records by exchange and read it
-// themselves only when nothing has confirmed their state for long. Records of
-// this node go to the log through ownership.go, snapshot.go and audit.go.
-// registration.go keeps the directory in step, where nodes find each other.
+// In each gossip round a node exchanges digests and recent records with a few
+// peers (round.go, exchange.go). A few nodes of each failure domain read the
+// log (follower.go). The other nodes get its records by gossip and read the
+// log themselves only when their state has not been confirmed for a long time.
+// A node appends its own records to the log in ownership.go, snapshot.go and
+// audit.go. The directory is where nodes find each other; registration.go
+// keeps its entries up to date with the members.
 package wharfcluster
--- a/wharfnode/internal/wharfcluster/exchange.go
+++ b/wharfnode/internal/wharfcluster/exchange.go
@@ -17,17 +17,17 @@
 )
 
 const (
-	// maxRecordBytes bounds the records in one answer, in bytes.
+	// maxRecordBytes bounds the records in one response, in bytes.
 	maxRecordBytes = 256 << 10
-	// maxRecentBytes bounds the records sent along with a request, in bytes.
+	// maxRecentBytes bounds the recent records in one request, in bytes.
 	maxRecentBytes = 4 << 10
-	// maxRecentRecords is how many records are sent along at most.
+	// maxRecentRecords bounds the number of recent records in one request.
 	maxRecentRecords = 8
-	// maxEntries bounds the entries in one message.
+	// maxEntries bounds the member entries in one message.
 	maxEntries = 512
-	// introducedEntries is about how many entries a node that joins gets from
-	// its seed. It takes the rest from those.
-	introducedEntries = 32
+	// joinEntries is about how many member entries a joining node gets from a
+	// seed. The joining node gets the other entries from these members.
+	joinEntries = 32
 	// maxSuspicions bounds the suspicions in one message.
 	maxSuspicions = 32
 )
@@ -46,21 +46,22 @@
 	m.View.Members(func(t *wharfmember.Table) { r.MembersRoot = t.Digests().Root() })
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	for _, rumour := range m.updates {
-		if now.Sub(rumour.at) < updateTTL {
-			r.Members = append(r.Members, packMember(rumour.member))
+	for _, update := range m.updates {
+		if now.Sub(update.at) < updateTTL {
+			r.Members = append(r.Members, packMember(update.member))
 		}
 	}
-	for _, a := range m.detector.ActiveReports(now) {
+	for _, report := range m.detector.ActiveReports(now) {
 		r.Accusations = append(r.Accusations, &wharfwire.Accusation{
-			Subject: a.Subject, Incarnation: a.Incarnation, Reporter: a.Reporter,
+			Subject: report.Subject, Incarnation: report.Incarnation, Reporter: report.Reporter,
 		})
 	}
 	return r
 }
 
-// recentRecords returns the records since the last round, for a partner that is only
-// just behind. Those that are further behind ask for what they lack.
+// recentRecords returns the records after an offset, for a peer that lags only
+// slightly. It returns none if there are more than maxRecentRecords. A peer that
+// lags further requests the records that it lacks.
 func (m *Agent) recentRecords(since uint64) []*wharfwire.LogRecord {
 	if m.View.State().Offset()-since > maxRecentRecords {
 		return nil
@@ -69,47 +70,49 @@
 	return packRecords(records)
 }
 
+// freshness returns the offset of the state and the age of its confirmation, or
+// nil if the state has not been confirmed.
 func (m *Agent) freshness(now time.Time) *wharfwire.Freshness {
-	fresh := m.View.ConfirmedAt()
-	if fresh.IsZero() {
+	confirmedAt := m.View.ConfirmedAt()
+	if confirmedAt.IsZero() {
 		return nil
 	}
-	return &wharfwire.Freshness{Offset: m.View.State().Offset(), AgeMs: now.Sub(fresh).Milliseconds() + 1}
+	return &wharfwire.Freshness{Offset: m.View.State().Offset(), AgeMs: now.Sub(confirmedAt).Milliseconds() + 1}
 }
 
 func (m *Agent) suspicions(now time.Time) []*wharfwire.Suspicion {
 	return wharftarget.PackSuspicions(now, m.Quarantine.Sample(now, wharfrandom.New(), maxSuspicions))
 }
 
-// syncRequest builds a message that carries entries, given the digests of the
-// partner.
-func (m *Agent) syncRequest(partner []uint64) *wharfwire.ExchangeRequest {
+// syncRequest builds a request with the member entries in the buckets whose
+// digests differ from those of the peer.
+func (m *Agent) syncRequest(peerDigests []uint64) *wharfwire.ExchangeRequest {
 	r := &wharfwire.ExchangeRequest{
 		From: m.View.Node(), Incarnation: m.View.Incarnation(), ConfigOffset: m.View.State().Offset(),
 	}
 	m.View.Members(func(t *wharfmember.Table) {
 		r.MembersRoot = t.Digests().Root()
 		r.Buckets = append([]uint64(nil), t.Digests()[:]...)
-		r.Members = packMembers(t.Differing(digests(partner), wharfrandom.New().IntN(wharfmember.Buckets), maxEntries))
+		r.Members = packMembers(t.Differing(digests(peerDigests), wharfrandom.New().IntN(wharfmember.Buckets), maxEntries))
 	})
 	return r
 }
 
-// Exchange answers the exchange of another node.
+// Exchange handles an exchange that another node started.
 func (m *Agent) Exchange(_ context.Context, r *wharfwire.ExchangeRequest) (*wharfwire.ExchangeResponse, error) {
 	now := time.Now()
 	m.mergeMembers(unpackMembers(r.GetMembers()))
 	m.applyRecords(unpackRecords(r.GetRecords()))
 	m.confirm(now, r.GetFreshness())
 	wharftarget.MergeSuspicions(m.Quarantine, r.GetSuspicions())
-	for _, a := range r.GetAccusations() {
-		m.reportFailure(wharfmember.FailureReport{Subject: a.GetSubject(), Incarnation: a.GetIncarnation(), Reporter: a.GetReporter()})
+	for _, report := range r.GetAccusations() {
+		m.reportFailure(wharfmember.FailureReport{Subject: report.GetSubject(), Incarnation: report.GetIncarnation(), Reporter: report.GetReporter()})
 	}
 	if r.GetConfigOffset() > m.View.State().Offset() {
 		m.TriggerRound()
 	}
 	if r.GetIntroduction() {
-		return m.introduction(), nil
+		return m.joinResponse(), nil
 	}
 	response := &wharfwire.ExchangeResponse{
 		ConfigOffset: m.View.State().Offset(),
@@ -121,18 +124,19 @@
 	return response, nil
 }
 
-// introduction names some members to a node that joins, this one among them.
-func (m *Agent) introduction() *wharfwire.ExchangeResponse {
+// joinResponse returns the entry of this node and those of some other members
+// to a joining node.
+func (m *Agent) joinResponse() *wharfwire.ExchangeResponse {
 	response := &wharfwire.ExchangeResponse{Members: []*wharfwire.Member{packMember(m.View.SelfMember())}}
 	m.View.Members(func(t *wharfmember.Table) {
-		some := t.Differing(&wharfmember.Digests{}, wharfrandom.New().IntN(wharfmember.Buckets), introducedEntries)
+		some := t.Differing(&wharfmember.Digests{}, wharfrandom.New().IntN(wharfmember.Buckets), joinEntries)
 		response.Members = append(response.Members, packMembers(some)...)
 	})
 	return response
 }
 
-// addState adds the records that the partner lacks, or a snapshot if they are
-// no longer kept.
+// addState adds the records after the peer's offset to a response, or a
+// snapshot if some of them are no longer kept.
 func (m *Agent) addState(response *wharfwire.ExchangeResponse, offset uint64) {
 	records, ok := m.View.RecordsAfter(offset, maxRecordBytes)
 	if ok {
@@ -145,8 +149,8 @@
 	}
 }
 
-// addMembers adds digests if the tables differ, and entries if the partner
-// sent its digests.
+// addMembers adds digests to a response if the member tables differ, and the
+// differing entries if the request also carries digests.
 func (m *Agent) addMembers(response *wharfwire.ExchangeResponse, r *wharfwire.ExchangeRequest) {
 	m.View.Members(func(t *wharfmember.Table) {
 		response.MembersRoot = t.Digests().Root()
@@ -160,7 +164,8 @@
 	})
 }
 
-// applyResponse takes what a partner answered.
+// applyResponse applies the response of a peer: member entries, state and
+// suspicions.
 func (m *Agent) applyResponse(r *wharfwire.ExchangeResponse) {
 	now := time.Now()
 	m.mergeMembers(unpackMembers(r.GetMembers()))
@@ -183,7 +188,8 @@
 	}
 }
 
-// applyRecords folds records and passes them on at once if they are news.
+// applyRecords applies log records to the state. If the state advances, it
+// triggers a gossip round to pass the records on at once.
 func (m *Agent) applyRecords(records []wharfstream.Record) {
 	if len(records) == 0 || !m.View.Apply(records) {
 		return
@@ -192,14 +198,17 @@
 	m.TriggerRound()
 }
 
-// confirm takes a partner's word on where the log ended some time ago.
+// confirm confirms the state by the end of the log that a peer reports. It adds
+// callTimeout to the reported age, because the message may have been in transit
+// for that long.
 func (m *Agent) confirm(now time.Time, f *wharfwire.Freshness) {
 	if f != nil {
 		m.View.Confirm(f.GetOffset(), now.Add(-callTimeout-time.Duration(f.GetAgeMs())*time.Millisecond))
 	}
 }
 
-// mergeMembers merges entries and passes news on.
+// mergeMembers merges member entries and gossips the changed ones, unless there
+// are more than maxUpdates.
 func (m *Agent) mergeMembers(members []wharfmember.Member) {
 	if len(members) == 0 {
 		return
@@ -212,7 +221,7 @@
 	}
 	if len(result.Changed) > 0 {
 		m.mu.Lock()
-		m.departures.record(time.Now(), result.Changed)
+		m.departed.record(time.Now(), result.Changed)
 		m.mu.Unlock()
 	}
 	if len(result.Changed) > 0 && len(result.Changed) <= maxUpdates {
@@ -222,13 +231,15 @@
 	m.correctSelf(result.NewerIncarnation, result.Refute)
 }
 
-// correctSelf corrects what others believe of this node.
-func (m *Agent) correctSelf(outlived uint64, refute bool) {
+// correctSelf corrects wrong entries of this node that other nodes hold, as in
+// SWIM. If newerIncarnation isn't zero, the incarnation of this node is raised
+// above it; else refute raises the version of the entry.
+func (m *Agent) correctSelf(newerIncarnation uint64, refute bool) {
 	switch {
-	case outlived > 0:
-		m.Log.Emit(wharfevents.IncarnationRaised, wharfevents.Field{Name: "incarnation", Value: outlived + 1})
+	case newerIncarnation > 0:
+		m.Log.Emit(wharfevents.IncarnationRaised, wharfevents.Field{Name: "incarnation", Value: newerIncarnation + 1})
 		m.UpdateSelf(func(self wharfmember.Member) wharfmember.Member {
-			self.Incarnation = max(self.Incarnation, outlived+1)
+			self.Incarnation = max(self.Incarnation, newerIncarnation+1)
 			return self
 		})
 	case refute:
@@ -237,14 +248,14 @@
 	}
 }
 
-// UpdateSelf changes the entry of this node and spreads it.
+// UpdateSelf changes the entry of this node and gossips it at once.
 func (m *Agent) UpdateSelf(change func(wharfmember.Member) wharfmember.Member) {
 	m.View.UpdateSelf(change)
 	m.queueUpdates([]wharfmember.Member{m.View.SelfMember()})
 	m.TriggerRound()
 }
 
-// Announce tells the other nodes what targets this node has.
+// Announce publishes the targets of this node to the other nodes.
 func (m *Agent) Announce() {
 	targets := m.Registry.Announced()
 	m.UpdateSelf(func(self wharfmember.Member) wharfmember.Member {
@@ -258,7 +269,8 @@
 	m.Metrics.ControlBytes("received", proto.Size(response))
 }
 
-// Consult asks a life of a node about a key, which closes the key there.
+// Consult requests the entry of a key from a previous owner, one incarnation of
+// a node. The previous owner also closes the key.
 func (m *Agent) Consult(ctx context.Context, owner wharfidempotency.Owner, id wharfidempotency.KeyID) (wharfidempotency.KeyEntry, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
--- a/wharfnode/internal/wharfcluster/expiry.go
+++ b/wharfnode/internal/wharfcluster/expiry.go
@@ -14,74 +14,79 @@
 
 const (
 	expiryInterval = time.Second
-	// pruneInterval is how often connections to ended nodes are closed.
+	// pruneInterval is how often connections to nodes that have left are closed.
 	pruneInterval = 30 * time.Second
-	// pauseTick is how often the process looks at the clock.
+	// pauseTick is how often the pause detector reads the clock.
 	pauseTick = 250 * time.Millisecond
-	// pauseThreshold is how long a tick must be overdue to mean a pause.
+	// pauseThreshold is the time between two ticks from which on the process
+	// counts as paused.
 	pauseThreshold = 2 * time.Second
 )
 
-// expiry drops targets that stopped renewing, and keys past their horizon.
+// expiry removes targets that stopped renewing their announcement and keys that
+// are older than the dedup window. It also closes connections to nodes that have
+// left.
 type expiry struct {
-	mesh *Agent
+	agent *Agent
 }
 
 func (e *expiry) run(ctx context.Context) {
-	pruned := time.Now()
+	lastPrune := time.Now()
 	for wharftimer.Sleep(ctx, expiryInterval) {
 		now := time.Now()
-		for _, t := range e.mesh.Registry.Expired(now, e.mesh.TargetTimeout) {
-			if e.mesh.Registry.Remove(t.Address) {
-				e.mesh.Log.Emit(wharfevents.TargetExpired, wharfevents.Field{Name: "target", Value: t.Address})
-				e.mesh.Announce()
+		for _, t := range e.agent.Registry.Expired(now, e.agent.TargetTimeout) {
+			if e.agent.Registry.Remove(t.Address) {
+				e.agent.Log.Emit(wharfevents.TargetExpired, wharfevents.Field{Name: "target", Value: t.Address})
+				e.agent.Announce()
 			}
 		}
-		h := e.mesh.View.DedupWindow()
-		e.mesh.Keys.Expire(now, h.Resend+h.Skew+h.Staleness)
-		if now.Sub(pruned) >= pruneInterval {
-			pruned = now
-			e.mesh.Peers.Prune(e.wanted())
+		window := e.agent.View.DedupWindow()
+		e.agent.Keys.Expire(now, window.Resend+window.Skew+window.Staleness)
+		if now.Sub(lastPrune) >= pruneInterval {
+			lastPrune = now
+			e.agent.Peers.Prune(e.wanted())
 		}
 	}
 }
 
-// wanted tells the addresses of live nodes from those of ended ones.
+// wanted returns a function that reports whether to keep the connection to an
+// address. Only connections to nodes that have left are closed.
 func (e *expiry) wanted() func(string) bool {
-	ended := map[string]bool{}
-	e.mesh.View.Members(func(t *wharfmember.Table) {
+	left := map[string]bool{}
+	e.agent.View.Members(func(t *wharfmember.Table) {
 		for _, m := range t.All() {
-			ended[m.Address] = m.State == wharfmember.Left
+			left[m.Address] = m.State == wharfmember.Left
 		}
 	})
-	return func(address string) bool { return !ended[address] }
+	return func(address string) bool { return !left[address] }
 }
 
-// pauseDetector notices that the process was stopped for a while. What it knew of the
-// log is then no longer confirmed.
+// pauseDetector detects that the process was paused. The log may have advanced
+// during the pause, so the state is then no longer confirmed.
 type pauseDetector struct {
-	mesh *Agent
+	agent *Agent
 }
 
 func (p *pauseDetector) run(ctx context.Context) {
 	last := time.Now()
 	for wharftimer.Sleep(ctx, pauseTick) {
 		now := time.Now()
-		// Both clocks are compared: the one may stand still in a frozen VM
-		// while the other is set forward when it wakes.
+		// Both clocks are compared: the monotonic clock may stop in a frozen
+		// VM while the wall clock is set forward when the VM resumes.
 		pause := max(now.Sub(last), now.Round(0).Sub(last.Round(0)))
 		last = now
 		if pause < pauseThreshold {
 			continue
 		}
-		p.mesh.View.ResetConfirmation()
-		p.mesh.Log.Emit(wharfevents.PauseNoticed, wharfevents.Field{Name: "pause", Value: pause.String()})
-		p.mesh.TriggerRound()
+		p.agent.View.ResetConfirmation()
+		p.agent.Log.Emit(wharfevents.PauseNoticed, wharfevents.Field{Name: "pause", Value: pause.String()})
+		p.agent.TriggerRound()
 	}
 }
 
-// BroadcastSuspicions tells the nodes of a service in this failure domain about requests
-// that crash targets, and returns when they know or the context ends.
+// BroadcastSuspicions sends suspicions about requests that crash targets to the
+// other nodes of a service in this failure domain. It returns when the calls to all
+// of them have succeeded or failed, or when the context ends.
 func (m *Agent) BroadcastSuspicions(ctx context.Context, service string, entries []wharfquarantine.Entry) {
 	request := &wharfwire.SuspectRequest{Suspicions: wharftarget.PackSuspicions(time.Now(), entries)}
 	group := m.pool.NewGroup()
@@ -91,7 +96,7 @@
 			if err != nil {
 				return
 			}
-			// A node that can't be reached learns of it by exchange.
+			// An unreachable node gets the suspicions by gossip.
 			_, _ = client.Suspect(ctx, request)
 		})
 	}
--- a/wharfnode/internal/wharfcluster/follower.go
+++ b/wharfnode/internal/wharfcluster/follower.go
@@ -18,29 +18,34 @@
 )
 
 const (
-	// readLimit is the number of records in one read.
+	// readLimit bounds the number of records in one read.
 	readLimit = 512
-	// retryWait is the pause after a read that failed.
+	// retryWait is the pause after a failed read.
 	retryWait = 500 * time.Millisecond
-	// roleInterval is how often a node that doesn't read looks at its role.
+	// roleInterval is how often a node that doesn't read the log checks whether
+	// it should.
 	roleInterval = 500 * time.Millisecond
-	// staleAfter is how long a node waits for a confirmation of its state
-	// before it reads the log itself, besides a share of the size of its
-	// failure domain that keeps the nodes from reading all at once.
+	// staleAfter is the age of the confirmation from which on the state is
+	// stale. A node with stale state reads the log itself, after a random wait
+	// that grows with the number of nodes, so that they don't all read at once.
 	staleAfter = 5 * time.Second
-	// staleShare is that share, for each node of the failure domain.
-	staleShare = time.Second
+	// staleReadInterval is the mean of that wait for each known node.
+	staleReadInterval = time.Second
 )
 
-// follower reads the platform's log when that is this node's role.
+// follower reads the platform's log if this node is a reader or if its state is
+// stale.
 type follower struct {
-	mesh   *Agent
-	rng    *rand.Rand
+	agent *Agent
+	rng   *rand.Rand
+	// failed is whether the last read failed.
 	failed bool
-	// version and reader are the role for a version of the view.
+	// reader is whether this node is a reader at a version of the view.
 	version uint64
 	reader  bool
-	// pending holds records behind a gap, until a snapshot bridges it.
+	// pending holds the records after a gap until one of them is a snapshot
+	// that covers the gap. from is the offset of the next read during a gap,
+	// else zero.
 	pending []wharfstream.Record
 	from    uint64
 }
@@ -64,28 +69,29 @@
 	if f.isReader() {
 		return true
 	}
-	if time.Since(f.mesh.View.ConfirmedAt()) < staleAfter {
+	if time.Since(f.agent.View.ConfirmedAt()) < staleAfter {
 		return false
 	}
-	size := f.mesh.View.KnownNodes()
-	// Of n nodes that are all stale, about one reads in each interval.
-	chance := float64(roleInterval) / (float64(staleShare) * float64(max(size, 1)))
+	size := f.agent.View.KnownNodes()
+	// Of n nodes that are all stale, about one reads in each staleReadInterval.
+	chance := float64(roleInterval) / (float64(staleReadInterval) * float64(max(size, 1)))
 	return f.rng.Float64() < chance
 }
 
-// isReader reports whether the node is among the first of its failure domain
-// in the order of a hash. A wrong answer is harmless: too many readers cost a
-// little, and none is noticed by the age of the state.
+// isReader reports whether this node is a reader of its failure domain. Nodes may
+// disagree on the readers without harm: too many readers cost a few reads, and
+// without any reader the state becomes stale, so that other nodes read the log.
 func (f *follower) isReader() bool {
-	v := f.mesh.View
+	v := f.agent.View
 	if version := v.Version(); version != f.version {
 		f.version = version
-		f.reader = slices.Contains(f.mesh.readers(), v.Node())
+		f.reader = slices.Contains(f.agent.readers(), v.Node())
 	}
 	return f.reader
 }
 
-// readers returns the nodes that read the log for this failure domain.
+// readers returns the nodes that read the log for this failure domain: the first
+// alive nodes in the order of a hash.
 func (m *Agent) readers() []string {
 	var first []string
 	domain := m.View.Locality().FailureDomain
@@ -110,52 +116,53 @@
 }
 
 func (f *follower) read(ctx context.Context) error {
-	v := f.mesh.View
-	asked := time.Now()
+	v := f.agent.View
+	requestedAt := time.Now()
 	from := max(v.State().Offset()+1, f.from)
-	batch, err := f.mesh.Platform.Read(ctx, wharfstate.Stream, from, readLimit, f.mesh.PollWait)
+	batch, err := f.agent.Platform.Read(ctx, wharfstate.Stream, from, readLimit, f.agent.PollWait)
 	if errors.Is(err, wharfstream.ErrExpired) {
-		f.mesh.Log.Emit(wharfevents.RecordsExpired,
+		f.agent.Log.Emit(wharfevents.RecordsExpired,
 			wharfevents.Field{Name: "from", Value: from},
 			wharfevents.Field{Name: "oldest", Value: batch.Oldest})
 		f.from, f.pending = batch.Oldest, nil
 		return err
 	}
-	f.report(ctx, err)
+	f.logAvailability(ctx, err)
 	if err != nil {
 		return err
 	}
 	f.applyBatch(batch)
 	if v.State().Offset()+1 >= batch.Next {
-		v.Confirm(batch.Next-1, asked)
+		v.Confirm(batch.Next-1, requestedAt)
 	}
 	return nil
 }
 
-// applyBatch folds the records of a batch. Behind a gap they are collected until one
-// of them is a snapshot.
+// applyBatch applies the records of a batch. After a gap it collects the records
+// until one of them is a snapshot that covers the gap.
 func (f *follower) applyBatch(batch wharfstream.Batch) {
 	records := batch.Records
-	if f.from > f.mesh.View.State().Offset()+1 {
+	if f.from > f.agent.View.State().Offset()+1 {
 		f.pending = append(f.pending, records...)
 		records = f.pending
 		f.from += uint64(len(batch.Records))
 	}
-	f.mesh.applyRecords(records)
-	if f.mesh.View.State().Offset()+1 >= f.from {
+	f.agent.applyRecords(records)
+	if f.agent.View.State().Offset()+1 >= f.from {
 		f.from, f.pending = 0, nil
 	}
 }
 
-// report logs when the log goes away and comes back.
-func (f *follower) report(ctx context.Context, err error) {
+// logAvailability emits an event when the platform's log becomes unavailable and
+// when it becomes available again.
+func (f *follower) logAvailability(ctx context.Context, err error) {
 	if ctx.Err() != nil || (err != nil) == f.failed {
 		return
 	}
 	f.failed = err != nil
 	if f.failed {
-		f.mesh.Log.Emit(wharfevents.LogUnavailable, wharfevents.ErrorField(err))
+		f.agent.Log.Emit(wharfevents.LogUnavailable, wharfevents.ErrorField(err))
 		return
 	}
-	f.mesh.Log.Emit(wharfevents.LogAvailable)
+	f.agent.Log.Emit(wharfevents.LogAvailable)
 }
--- a/wharfnode/internal/wharfcluster/ownership.go
+++ b/wharfnode/internal/wharfcluster/ownership.go
@@ -17,28 +17,30 @@
 )
 
 const (
-	// ownershipInterval is how often owned and served services are compared.
+	// ownershipInterval is how often the owned and the served services are
+	// compared.
 	ownershipInterval = 200 * time.Millisecond
-	// foldWait is how long an append may take to come back from the log.
-	foldWait = 3 * time.Second
-	// maxAppendPause bounds the pause between attempts at an append.
+	// applyTimeout bounds the wait until an appended record shows in the state.
+	applyTimeout = 3 * time.Second
+	// maxAppendPause bounds the exponential backoff between appends.
 	maxAppendPause = 10 * time.Second
-	// handOverBatch is the number of records in one message.
+	// handOverBatch bounds the number of key records in one message.
 	handOverBatch = 128
 )
 
-// ownership keeps the ownership of keys in step with the targets of the node.
+// ownership keeps the ownership of keys up to date with the targets of the node.
 type ownership struct {
-	mesh *Agent
+	agent *Agent
 }
 
 func (o *ownership) run(ctx context.Context) {
 	pause := ownershipInterval
-	for wharftimer.Sleep(ctx, pause) && !o.mesh.releasing.Load() {
+	for wharftimer.Sleep(ctx, pause) && !o.agent.releasing.Load() {
 		o.startNewIncarnation()
-		served, owned := o.mesh.served(), o.mesh.owned()
-		// A service without target keeps its keys here: the target may come
-		// back, and until then the home refuses.
+		served, owned := o.agent.served(), o.agent.owned()
+		// The node keeps the keys of a service that has no target here any
+		// more: the target may announce itself again, and until then the node
+		// refuses requests with these keys.
 		if len(served) == 0 || slices.Equal(served, owned) || isSubset(served, owned) {
 			pause = ownershipInterval
 			continue
@@ -51,33 +53,33 @@
 	}
 }
 
-// startNewIncarnation raises the incarnation of a node that was evicted although it
-// lives. Its earlier life never owns keys again.
+// startNewIncarnation raises the incarnation of this node if it was evicted while
+// it was running. The evicted incarnation never owns keys again.
 func (o *ownership) startNewIncarnation() {
-	if !o.mesh.View.State().Ownership().HasEnded(o.mesh.View.Self()) {
+	if !o.agent.View.State().Ownership().HasEnded(o.agent.View.Self()) {
 		return
 	}
-	o.mesh.UpdateSelf(func(self wharfmember.Member) wharfmember.Member {
+	o.agent.UpdateSelf(func(self wharfmember.Member) wharfmember.Member {
 		self.Incarnation++
 		return self
 	})
-	o.mesh.Log.Emit(wharfevents.IncarnationRaised, wharfevents.Field{Name: "incarnation", Value: o.mesh.View.Incarnation()})
+	o.agent.Log.Emit(wharfevents.IncarnationRaised, wharfevents.Field{Name: "incarnation", Value: o.agent.View.Incarnation()})
 }
 
 func (o *ownership) announce(ctx context.Context, services []string) bool {
-	self := o.mesh.View.Self()
+	self := o.agent.View.Self()
 	record := wharfidempotency.OwnershipRecord{
 		Kind: wharfidempotency.Announce, Node: self.Node, Incarnation: self.Incarnation,
 		Address: self.Address, Services: services,
 	}
-	if !o.mesh.appendOwnership(ctx, record, func() bool { return isSubset(services, o.mesh.owned()) }) {
+	if !o.agent.appendOwnership(ctx, record, func() bool { return isSubset(services, o.agent.owned()) }) {
 		return false
 	}
-	o.mesh.Log.Emit(wharfevents.OwnershipTaken, wharfevents.Field{Name: "services", Value: services})
+	o.agent.Log.Emit(wharfevents.OwnershipTaken, wharfevents.Field{Name: "services", Value: services})
 	return true
 }
 
-// served returns the services that have a target here, leaving ones left out.
+// served returns the services that have a target here that isn't leaving.
 func (m *Agent) served() []string {
 	var out []string
 	for _, t := range m.Registry.Announced() {
@@ -103,9 +105,11 @@
 	return slices.Compact(out)
 }
 
-// appendOwnership writes an ownership record and waits until it shows in the state.
-// Writing it twice does no harm, so a lost answer is simply tried again.
-func (m *Agent) appendOwnership(ctx context.Context, record wharfidempotency.OwnershipRecord, folded func() bool) bool {
+// appendOwnership appends an ownership record to the log and waits until applied
+// reports that the record shows in the state. It reports whether that happened in
+// time. A record may be appended twice without harm, so the caller retries after
+// a lost response.
+func (m *Agent) appendOwnership(ctx context.Context, record wharfidempotency.OwnershipRecord, applied func() bool) bool {
 	data, err := wharfstate.Envelope{Ownership: &record}.Encode()
 	if err != nil {
 		return false
@@ -115,7 +119,7 @@
 	if err != nil {
 		m.Log.Emit(wharfevents.AppendUncertain, wharfevents.ErrorField(err))
 	}
-	return m.awaitState(ctx, foldWait, folded)
+	return m.awaitState(ctx, applyTimeout, applied)
 }
 
 func resultName(err error) string {
@@ -125,9 +129,10 @@
 	return "done"
 }
 
-// awaitState waits until a condition on the view holds.
-func (m *Agent) awaitState(ctx context.Context, limit time.Duration, holds func() bool) bool {
-	ctx, cancel := context.WithTimeout(ctx, limit)
+// awaitState waits until a condition on the view holds. It reports false if the
+// timeout expires or the context ends first.
+func (m *Agent) awaitState(ctx context.Context, timeout time.Duration, holds func() bool) bool {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	for {
 		changed := m.View.Changed()
@@ -142,8 +147,9 @@
 	}
 }
 
-// ReleaseOwnership ends the ownership of this node at a planned stop, and gives its
-// records to the next homes.
+// ReleaseOwnership ends the ownership of this node at a planned stop, and sends
+// its key records to the next owners. It fails if the context ends before the
+// release shows in the state.
 func (m *Agent) ReleaseOwnership(ctx context.Context) error {
 	m.releasing.Store(true)
 	if len(m.owned()) == 0 {
@@ -169,18 +175,18 @@
 	return err
 }
 
-// handOver sends each record to the home that its key has now.
+// handOver sends each key record to the present owner of its key.
 func (m *Agent) handOver(ctx context.Context) error {
 	batches := map[string][]*wharfwire.KeyRecord{}
 	now := time.Now()
-	homes := m.View.Ownership().Table
+	table := m.View.Ownership().Table
 	for _, x := range m.Keys.Export() {
 		if x.ID.Service == "" {
-			continue // Minted keys belong to this node alone.
+			continue // Keys that this node generated belong to this node alone.
 		}
-		next, ok := homes.Owner(x.ID.Service, x.ID.Key)
+		next, ok := table.Owner(x.ID.Service, x.ID.Key)
 		if !ok {
-			return oops.Code("hand-over").Errorf("service %s has no other home", x.ID.Service)
+			return oops.Code("hand-over").Errorf("service %s has no other owner", x.ID.Service)
 		}
 		batches[next.Address] = append(batches[next.Address], packKey(now, x))
 	}
--- a/wharfnode/internal/wharfcluster/registration.go
+++ b/wharfnode/internal/wharfcluster/registration.go
@@ -13,31 +13,33 @@
 )
 
 const (
-	// firstEnterPause and maxEnterPause bound the pause between attempts to
-	// write the entry of this node.
-	firstEnterPause = 200 * time.Millisecond
-	maxEnterPause   = 5 * time.Second
-	// sweepInterval is how often the entries of ended nodes are looked at.
+	// minEnterPause and maxEnterPause bound the exponential backoff between
+	// attempts to write the entry of this node, before jitter.
+	minEnterPause = 200 * time.Millisecond
+	maxEnterPause = 5 * time.Second
+	// sweepInterval is how often the entries of departed nodes are removed.
 	sweepInterval = 30 * time.Second
 )
 
-// registration keeps the directory in step with the members: this node enters
-// itself, and one node chosen by hash removes those that have ended.
+// registration keeps the directory up to date with the members. Each node writes
+// its own entry. The entry of a departed node is removed by one live node, which
+// rendezvous hashing selects.
 type registration struct {
-	mesh *Agent
-	rng  *rand.Rand
-	// removed lists the lives that this node has removed.
+	agent *Agent
+	rng   *rand.Rand
+	// removed holds the incarnation of each node whose entry this node has
+	// removed, by node id.
 	removed map[string]uint64
 }
 
 func (r *registration) run(ctx context.Context) {
-	for pause := firstEnterPause; !r.enter(ctx); pause = min(2*pause, maxEnterPause) {
+	for pause := minEnterPause; !r.enter(ctx); pause = min(2*pause, maxEnterPause) {
 		if !wharftimer.Sleep(ctx, pause/2+time.Duration(r.rng.Int64N(int64(pause)))) {
 			return
 		}
 	}
 	// Nodes that start together may have found the directory empty.
-	r.mesh.join(ctx)
+	r.agent.join(ctx)
 	r.removed = map[string]uint64{}
 	for wharftimer.Sleep(ctx, sweepInterval) {
 		r.sweep(ctx)
@@ -45,52 +47,53 @@
 }
 
 func (r *registration) enter(ctx context.Context) bool {
-	err := r.mesh.Directory.Enter(ctx, r.mesh.View.SelfMember())
+	err := r.agent.Directory.Enter(ctx, r.agent.View.SelfMember())
 	if err != nil {
-		r.mesh.Log.Emit(wharfevents.DirectoryUnavailable, wharfevents.ErrorField(err))
+		r.agent.Log.Emit(wharfevents.DirectoryUnavailable, wharfevents.ErrorField(err))
 	}
 	return err == nil
 }
 
-// sweep removes the entries of ended nodes that fall to this node.
+// sweep removes the directory entries of the departed nodes that are assigned to
+// this node.
 func (r *registration) sweep(ctx context.Context) {
-	for _, m := range r.ended() {
+	for _, m := range r.departed() {
 		if r.removed[m.Node] == m.Incarnation {
 			continue
 		}
-		if err := r.mesh.Directory.Remove(ctx, m); err != nil {
-			r.mesh.Log.Emit(wharfevents.DirectoryUnavailable, wharfevents.ErrorField(err))
+		if err := r.agent.Directory.Remove(ctx, m); err != nil {
+			r.agent.Log.Emit(wharfevents.DirectoryUnavailable, wharfevents.ErrorField(err))
 			return
 		}
 		r.removed[m.Node] = m.Incarnation
 	}
 }
 
-// ended returns the ended nodes for which this one has the highest weight among
-// those alive.
-func (r *registration) ended() []wharfmember.Member {
-	var ended, alive []wharfmember.Member
-	r.mesh.View.Members(func(t *wharfmember.Table) {
+// departed returns the departed nodes that are assigned to this node: those for
+// which it has the highest hash weight among the live nodes.
+func (r *registration) departed() []wharfmember.Member {
+	var departed, alive []wharfmember.Member
+	r.agent.View.Members(func(t *wharfmember.Table) {
 		for _, m := range t.All() {
 			switch m.State {
 			case wharfmember.Alive:
 				alive = append(alive, m)
 			case wharfmember.Left, wharfmember.Down:
-				ended = append(ended, m)
+				departed = append(departed, m)
 			}
 		}
 	})
-	var mine []wharfmember.Member
-	for _, m := range ended {
+	var assigned []wharfmember.Member
+	for _, m := range departed {
 		best, weight := "", uint64(0)
 		for _, a := range alive {
 			if w := xxhash.Sum64String(m.Node + "\x00" + a.Node); best == "" || w > weight {
 				best, weight = a.Node, w
 			}
 		}
-		if best == r.mesh.View.Node() {
-			mine = append(mine, m)
+		if best == r.agent.View.Node() {
+			assigned = append(assigned, m)
 		}
 	}
-	return mine
+	return assigned
 }
--- a/wharfnode/internal/wharfcluster/reprobe.go
+++ b/wharfnode/internal/wharfcluster/reprobe.go
@@ -10,29 +10,32 @@
 )
 
 const (
-	// reprobeWindow is how long the address of an ended node is asked again. A
-	// rolling restart and the mending of a cut are over by then.
+	// reprobeWindow is how long the address of a departed node is probed. A
+	// rolling restart or the recovery from a network partition is over by then.
 	reprobeWindow = 30 * time.Second
-	// reprobeRate is how often all nodes together ask one ended node in a round.
+	// reprobeRate is how many probes all nodes together send to one departed
+	// node in a round, on average.
 	reprobeRate = 8.0
-	// maxDepartedNodes bounds the ended nodes that are kept in mind.
+	// maxDepartedNodes bounds the departed nodes that are stored.
 	maxDepartedNodes = 64
 )
 
-// departedNode is a node that ended a short while ago.
+// departedNode is a node that recently left or was declared down.
 type departedNode struct {
 	member wharfmember.Member
 	at     time.Time
 }
 
-// departedNodes lists nodes that may come back at their addresses. While the
-// directory is away, a node that starts again can't find the others; they find
-// it. The zero departedNodes is empty. It isn't safe for concurrent use.
+// departedNodes lists departed nodes that may restart at the same address. While
+// the directory is unavailable, a restarted node can't find the other nodes, so
+// the other nodes probe its address. The zero departedNodes is empty. It isn't
+// safe for concurrent use.
 type departedNodes struct {
 	all []departedNode
 }
 
-// record takes the changes of some entries.
+// record updates the list with changed entries. It adds nodes that departed and
+// removes nodes that are alive or leaving.
 func (d *departedNodes) record(now time.Time, changed []wharfmember.Member) {
 	for _, m := range changed {
 		d.all = slices.DeleteFunc(d.all, func(x departedNode) bool { return x.member.Node == m.Node })
@@ -45,7 +48,9 @@
 	}
 }
 
-// due picks those that this node asks now, among so many nodes that do so too.
+// due returns the departed nodes that this node probes now. Each of the given
+// number of nodes picks a departed node with probability reprobeRate/nodes, so
+// that the total number of probes doesn't grow with the number of nodes.
 func (d *departedNodes) due(now time.Time, rng *rand.Rand, nodes int) []wharfmember.Member {
 	d.all = slices.DeleteFunc(d.all, func(x departedNode) bool { return now.Sub(x.at) >= reprobeWindow })
 	var out []wharfmember.Member
@@ -57,16 +62,17 @@
 	return out
 }
 
-// reprobes returns the ended nodes that are to be asked in this round.
+// reprobes returns the departed nodes that this node probes in this round.
 func (r *rounds) reprobes() []wharfmember.Member {
-	nodes := r.mesh.View.KnownNodes()
-	r.mesh.mu.Lock()
-	defer r.mesh.mu.Unlock()
-	return r.mesh.departures.due(time.Now(), r.rng, nodes)
+	nodes := r.agent.View.KnownNodes()
+	r.agent.mu.Lock()
+	defer r.agent.mu.Unlock()
+	return r.agent.departed.due(time.Now(), r.rng, nodes)
 }
 
-// reprobe asks at the address of an ended node whether it is back.
-func (m *Agent) reprobe(ctx context.Context, ended wharfmember.Member, since uint64) {
-	// Most ended nodes don't come back, so that a failure is no news.
-	_ = m.exchange(ctx, ended.Address, since)
+// reprobe tries an exchange at the address of a departed node, in case a node has
+// restarted there.
+func (m *Agent) reprobe(ctx context.Context, departed wharfmember.Member, since uint64) {
+	// Most departed nodes don't restart, so a failure is expected.
+	_ = m.exchange(ctx, departed.Address, since)
 }
--- a/wharfnode/internal/wharfcluster/reprobe_test.go
+++ b/wharfnode/internal/wharfcluster/reprobe_test.go
@@ -11,33 +11,37 @@
 	"ragwortwharf.dev/wharf/wharfmember"
 )
 
-// TestRevisitsDoNotGrowWithTheMesh counts how often an ended node is asked in a
-// round by all nodes together.
-func TestRevisitsDoNotGrowWithTheMesh(t *testing.T) {
+// TestReprobesDoNotGrowWithNodeCount guards against a load on a departed node's
+// address that grows with the number of nodes. It counts the probes that all
+// nodes together send in one round.
+func TestReprobesDoNotGrowWithNodeCount(t *testing.T) {
 	is := is.New(t)
 	rng := rand.New(rand.NewPCG(1, 2))
 	now := time.Unix(1000, 0)
-	ended := wharfmember.Member{Node: "ended", State: wharfmember.Left}
+	departed := wharfmember.Member{Node: "ended", State: wharfmember.Left}
 	for _, nodes := range []int{16, 1000, 17000} {
-		asked := 0
+		probes := 0
 		for range nodes {
 			var d departedNodes
-			d.record(now, []wharfmember.Member{ended})
-			asked += len(d.due(now, rng, nodes))
+			d.record(now, []wharfmember.Member{departed})
+			probes += len(d.due(now, rng, nodes))
 		}
-		is.True(asked >= 1)
-		is.True(asked <= 3*reprobeRate)
+		is.True(probes >= 1)
+		is.True(probes <= 3*reprobeRate)
 	}
 }
 
-func TestDeparturesEnd(t *testing.T) {
+// TestDepartedNodesExpire guards against probes that never end: a departed node is
+// no longer probed once it is alive again or reprobeWindow is over, and the list
+// is bounded.
+func TestDepartedNodesExpire(t *testing.T) {
 	is := is.New(t)
 	rng := rand.New(rand.NewPCG(1, 2))
 	now := time.Unix(1000, 0)
 	var d departedNodes
 	d.record(now, []wharfmember.Member{{Node: "a", State: wharfmember.Down}, {Node: "b", State: wharfmember.Alive}})
 	is.Equal(len(d.due(now, rng, 1)), 1)
-	d.record(now, []wharfmember.Member{{Node: "a", State: wharfmember.Alive}}) // it is back
+	d.record(now, []wharfmember.Member{{Node: "a", State: wharfmember.Alive}}) // restarted
 	is.Equal(len(d.due(now, rng, 1)), 0)
 	for i := range 2 * maxDepartedNodes {
 		d.record(now, []wharfmember.Member{{Node: fmt.Sprint(i), State: wharfmember.Left}})
--- a/wharfnode/internal/wharfcluster/round.go
+++ b/wharfnode/internal/wharfcluster/round.go
@@ -13,35 +13,38 @@
 )
 
 const (
-	// roundInterval is the time between two rounds of exchanges.
+	// roundInterval is the mean time between two gossip rounds.
 	roundInterval = time.Second
-	// minRoundInterval is the least time between two rounds when there is news.
+	// minRoundInterval is the least time between two gossip rounds, also when a
+	// round is triggered.
 	minRoundInterval = 100 * time.Millisecond
-	// updateTTL is how long a changed entry is sent along.
+	// updateTTL is how long a changed member entry is sent with each exchange.
 	updateTTL = 3 * time.Second
-	// maxUpdates bounds the entries sent along with one exchange.
+	// maxUpdates bounds the changed member entries sent with one exchange.
 	maxUpdates = 32
-	// maxSyncs bounds the exchanges of entries in one round with one partner.
+	// maxSyncs bounds the exchanges that sync the member tables with one peer
+	// in one round.
 	maxSyncs = 128
 )
 
-// memberUpdate is an entry that changed a short while ago.
+// memberUpdate is a member entry that changed recently.
 type memberUpdate struct {
 	member wharfmember.Member
 	at     time.Time
 }
 
-// rounds exchanges with a few partners in each round.
+// rounds runs the gossip rounds, each with a few peers.
 type rounds struct {
-	mesh  *Agent
+	agent *Agent
 	rng   *rand.Rand
 	count int
-	// sentOffset is the offset up to which records were sent along in a round.
+	// sentOffset is the log offset up to which records were sent in earlier
+	// rounds.
 	sentOffset uint64
 }
 
 func (r *rounds) run(ctx context.Context) {
-	r.mesh.join(ctx)
+	r.agent.join(ctx)
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
@@ -49,10 +52,11 @@
 		case <-ctx.Done():
 			return
 		case <-timer.C:
-		case <-r.mesh.urgent:
+		case <-r.agent.urgent:
 		}
 		r.round(ctx)
-		// Rounds don't keep step over the mesh, so no node is hit by all.
+		// The jitter keeps the rounds of different nodes out of step, so that
+		// they don't all call the same node at once.
 		pause := roundInterval/2 + time.Duration(r.rng.Int64N(int64(roundInterval)))
 		timer.Reset(pause)
 		if !wharftimer.Sleep(ctx, minRoundInterval) {
@@ -61,9 +65,10 @@
 	}
 }
 
-// join tells the seeds that this node exists, and learns of some others from
-// them. Members and state come from those, so that nodes which start together
-// don't all ask few seeds for everything.
+// join announces this node to the seeds and merges the few members that each
+// seed returns. The node gets all members and the state from those members
+// later, so that nodes that start together don't all fetch everything from a
+// few seeds.
 func (m *Agent) join(ctx context.Context) {
 	self := m.View.SelfMember()
 	m.queueUpdates([]wharfmember.Member{self})
@@ -75,37 +80,38 @@
 		if seed == self.Address {
 			continue
 		}
-		// A seed that can't be reached now is met by a later round of others.
-		_ = m.introduce(ctx, seed)
+		// An unreachable seed gets the entry of this node in a later round of
+		// other nodes.
+		_ = m.joinSeed(ctx, seed)
 	}
 }
 
 func (r *rounds) round(ctx context.Context) {
 	r.count++
-	partners := r.mesh.View.GossipPeers(r.count, r.rng)
-	if len(partners) == 0 {
-		r.mesh.join(ctx)
+	peers := r.agent.View.GossipPeers(r.count, r.rng)
+	if len(peers) == 0 {
+		r.agent.join(ctx)
 		return
 	}
 	since := r.sentOffset
-	r.sentOffset = r.mesh.View.State().Offset()
-	group := r.mesh.pool.NewGroup()
-	for _, p := range partners {
+	r.sentOffset = r.agent.View.State().Offset()
+	group := r.agent.pool.NewGroup()
+	for _, p := range peers {
 		group.Submit(func() {
-			err := r.mesh.exchange(ctx, p.Address, since)
+			err := r.agent.exchange(ctx, p.Address, since)
 			if ctx.Err() == nil {
-				r.mesh.recordExchange(p, err == nil)
+				r.agent.recordExchange(p, err == nil)
 			}
 		})
 	}
-	for _, ended := range r.reprobes() {
-		group.Submit(func() { r.mesh.reprobe(ctx, ended, since) })
+	for _, departed := range r.reprobes() {
+		group.Submit(func() { r.agent.reprobe(ctx, departed, since) })
 	}
 	_ = group.Wait()
 }
 
-// exchange does one round with one partner, and sends the records since an
-// offset along.
+// exchange runs one gossip exchange with the peer at an address. Its first
+// request carries the recent records after the offset since.
 func (m *Agent) exchange(ctx context.Context, address string, since uint64) error {
 	client, err := m.Peers.Client(address)
 	if err != nil {
@@ -123,8 +129,9 @@
 	return m.sync(ctx, client, response)
 }
 
-// introduce tells a seed of this node and takes the members that it names.
-func (m *Agent) introduce(ctx context.Context, address string) error {
+// joinSeed announces this node to the seed at an address and merges the members
+// that the seed returns.
+func (m *Agent) joinSeed(ctx context.Context, address string) error {
 	client, err := m.Peers.Client(address)
 	if err != nil {
 		return err
@@ -142,7 +149,8 @@
 	return nil
 }
 
-// sync exchanges entries until both tables are the same.
+// sync exchanges member entries with a peer until both tables are equal, in at
+// most maxSyncs exchanges.
 func (m *Agent) sync(ctx context.Context, client wharfwire.NodeClient, response *wharfwire.ExchangeResponse) error {
 	for i := 0; i < maxSyncs && len(response.GetBuckets()) > 0; i++ {
 		request := m.syncRequest(response.GetBuckets())
@@ -160,41 +168,45 @@
 	return nil
 }
 
-// recordExchange tells the detector how an exchange with a watched node went.
+// recordExchange passes the result of an exchange with a peer to the failure
+// detector. A failure is reported only for a peer of this failure domain.
 func (m *Agent) recordExchange(p wharfmember.Member, ok bool) {
 	m.mu.Lock()
-	accuse := m.detector.RecordExchange(p.Node, ok)
+	shouldReport := m.detector.RecordExchange(p.Node, ok)
 	m.mu.Unlock()
-	if !accuse || p.FailureDomain != m.View.Locality().FailureDomain {
+	if !shouldReport || p.FailureDomain != m.View.Locality().FailureDomain {
 		return
 	}
 	m.reportFailure(wharfmember.FailureReport{Subject: p.Node, Incarnation: p.Incarnation, Reporter: m.View.Node()})
 }
 
-// reportFailure takes an accusation, own or heard, and declares the subject down when
-// enough reporters agree. The exchanges to come pass it on.
-func (m *Agent) reportFailure(a wharfmember.FailureReport) {
-	subject, known := m.View.Member(a.Subject)
-	if !known || subject.Incarnation != a.Incarnation || subject.State > wharfmember.Leaving {
+// reportFailure adds a failure report of this node or of another reporter, and
+// declares the subject down when enough reporters agree. Later exchanges pass
+// the report on.
+func (m *Agent) reportFailure(report wharfmember.FailureReport) {
+	subject, known := m.View.Member(report.Subject)
+	if !known || subject.Incarnation != report.Incarnation || subject.State > wharfmember.Leaving {
 		return
 	}
-	watchers := m.View.MonitorCount(a.Subject)
+	monitors := m.View.MonitorCount(report.Subject)
 	m.mu.Lock()
-	down := m.detector.AddReport(time.Now(), a, watchers)
+	down := m.detector.AddReport(time.Now(), report, monitors)
 	m.mu.Unlock()
 	if !down {
 		return
 	}
-	m.Log.Emit(wharfevents.MemberDown, wharfevents.Field{Name: "node", Value: a.Subject})
+	m.Log.Emit(wharfevents.MemberDown, wharfevents.Field{Name: "node", Value: report.Subject})
 	m.mergeMembers([]wharfmember.Member{subject.WithState(wharfmember.Down)})
 }
 
-// queueUpdates remembers changed entries for the next exchanges.
+// queueUpdates queues changed member entries for the next exchanges. It drops
+// queued entries that are older than updateTTL and, beyond maxUpdates, the
+// oldest ones.
 func (m *Agent) queueUpdates(members []wharfmember.Member) {
 	now := time.Now()
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	kept := slices.DeleteFunc(m.updates, func(r memberUpdate) bool { return now.Sub(r.at) >= updateTTL })
+	kept := slices.DeleteFunc(m.updates, func(u memberUpdate) bool { return now.Sub(u.at) >= updateTTL })
 	for _, member := range members {
 		kept = append(kept, memberUpdate{member, now})
 	}
--- a/wharfnode/internal/wharfcluster/snapshot.go
+++ b/wharfnode/internal/wharfcluster/snapshot.go
@@ -10,22 +10,25 @@
 	"ragwortwharf.dev/wharfnode/wharfevents"
 )
 
-// rankDelay is the share of the interval by which the second reader waits
-// longer than the first, so that mostly one of them writes.
-const rankDelay = 0.25
+// readerDelayShare is the share of the snapshot interval by which each reader
+// waits longer than the reader before it, so that usually only one of them writes
+// a snapshot.
+const readerDelayShare = 0.25
 
-// snapshots writes the state to the log before the records that it came from
-// expire there. All readers do; the first one that is due spares the others.
+// snapshots appends snapshots of the state to the log before the records that the
+// state was built from expire there. Every reader runs it. After the first reader
+// has written a snapshot, the other readers needn't write one.
 type snapshots struct {
-	mesh *Agent
-	// seen is the last snapshot in the log, and when it was noticed.
+	agent *Agent
+	// seen is the offset of the last snapshot in the log. seenAt is when this
+	// node noticed it, or later tried to write a snapshot itself.
 	seen   uint64
 	seenAt time.Time
 }
 
 func (s *snapshots) run(ctx context.Context) {
 	s.seenAt = time.Now()
-	for wharftimer.Sleep(ctx, s.mesh.SnapshotInterval/10) {
+	for wharftimer.Sleep(ctx, s.agent.SnapshotInterval/10) {
 		if s.due() {
 			s.write(ctx)
 		}
@@ -33,23 +36,23 @@
 }
 
 func (s *snapshots) due() bool {
-	v := s.mesh.View
+	v := s.agent.View
 	if last := v.State().SnapshotOffset(); last != s.seen {
 		s.seen, s.seenAt = last, time.Now()
 	}
 	if v.State().Offset() <= s.seen {
 		return false
 	}
-	rank := slices.Index(s.mesh.readers(), v.Node())
-	if rank < 0 {
+	position := slices.Index(s.agent.readers(), v.Node())
+	if position < 0 {
 		return false
 	}
-	patience := float64(s.mesh.SnapshotInterval) * (1 + rankDelay*float64(rank))
-	return time.Since(s.seenAt) >= time.Duration(patience)
+	wait := float64(s.agent.SnapshotInterval) * (1 + readerDelayShare*float64(position))
+	return time.Since(s.seenAt) >= time.Duration(wait)
 }
 
 func (s *snapshots) write(ctx context.Context) {
-	state := s.mesh.View.State()
+	state := s.agent.View.State()
 	data, err := state.Save()
 	if err != nil {
 		return
@@ -59,13 +62,13 @@
 		return
 	}
 	s.seenAt = time.Now()
-	_, err = s.mesh.Platform.Append(ctx, wharfstate.Stream, record)
-	s.mesh.Metrics.LogAppend(wharfstate.Stream, resultName(err))
+	_, err = s.agent.Platform.Append(ctx, wharfstate.Stream, record)
+	s.agent.Metrics.LogAppend(wharfstate.Stream, resultName(err))
 	if err != nil {
-		s.mesh.Log.Emit(wharfevents.AppendUncertain, wharfevents.ErrorField(err))
+		s.agent.Log.Emit(wharfevents.AppendUncertain, wharfevents.ErrorField(err))
 		return
 	}
-	s.mesh.Log.Emit(wharfevents.SnapshotWritten,
+	s.agent.Log.Emit(wharfevents.SnapshotWritten,
 		wharfevents.Field{Name: "offset", Value: state.Offset()},
 		wharfevents.Field{Name: "bytes", Value: len(data)})
 }
