--- a/wharfnode/internal/wharfview/doc.go
+++ b/wharfnode/internal/wharfview/doc.go
@@ -1,6 +1,6 @@
-// Package wharfview holds what a node knows: the state folded from the log,
-// the table of members, and what both mean for routing and ownership.
+// Package wharfview holds a node's current view of the system: the state built
+// from the log, the member table, and what both mean for routing and ownership.
 //
-// It is the meeting point of the node: the mesh writes it, the entry and the
-// target side read it. Reading the state takes no lock.
+// The cluster agent writes the view. The proxy and the target server read it.
+// Reading the state takes no lock.
 package wharfview
--- a/wharfnode/internal/wharfview/members.go
+++ b/wharfnode/internal/wharfview/members.go
@@ -8,15 +8,17 @@
 	"ragwortwharf.dev/wharf/wharfrouting"
 )
 
-// Members gives access to the table of members under its lock.
+// Members calls use with the member table while it holds the lock of the table.
+// The function use must not retain the table.
 func (v *View) Members(use func(t *wharfmember.Table)) {
 	v.membersMu.Lock()
 	defer v.membersMu.Unlock()
 	use(&v.members)
 }
 
-// KnownNodes returns how many nodes this one has ever heard of. Unlike the number
-// of those alive it isn't less on one side of a cut.
+// KnownNodes returns the number of nodes in the member table, departed nodes
+// included. Unlike the number of live nodes it doesn't shrink during a network
+// partition.
 func (v *View) KnownNodes() int {
 	v.membersMu.Lock()
 	defer v.membersMu.Unlock()
@@ -36,17 +38,21 @@
 	v.notify()
 }
 
-// MergeResult says what a merge of entries changed.
+// MergeResult describes the effect of a merge of member entries.
 type MergeResult struct {
+	// Changed lists the entries that changed the table.
 	Changed []wharfmember.Member
-	// Refute says that others believe this node is down or has ended.
+	// Refute is whether another node believes that this node is down or has
+	// left.
 	Refute bool
-	// NewerIncarnation says that an entry of this node comes from a later life, so
-	// this one needs a higher incarnation.
+	// NewerIncarnation is the highest incarnation of this node in the received
+	// entries if it is above its own, else zero. If it isn't zero, this node
+	// needs a higher incarnation.
 	NewerIncarnation uint64
 }
 
-// Merge takes entries from another node. Only this node changes its own entry.
+// Merge merges member entries from another node. An entry of this node is only
+// compared, because only this node changes its own entry.
 func (v *View) Merge(members []wharfmember.Member) MergeResult {
 	var result MergeResult
 	v.membersMu.Lock()
@@ -68,17 +74,17 @@
 	return result
 }
 
-// compareSelf compares what others believe of this node with the truth.
-func (r *MergeResult) compareSelf(self, heard wharfmember.Member) {
+// compareSelf compares a received entry of this node with its own entry.
+func (r *MergeResult) compareSelf(self, received wharfmember.Member) {
 	switch {
-	case heard.Incarnation > self.Incarnation:
-		r.NewerIncarnation = max(r.NewerIncarnation, heard.Incarnation)
-	case heard.Incarnation == self.Incarnation && heard.Version >= self.Version && heard.State > self.State:
+	case received.Incarnation > self.Incarnation:
+		r.NewerIncarnation = max(r.NewerIncarnation, received.Incarnation)
+	case received.Incarnation == self.Incarnation && received.Version >= self.Version && received.State > self.State:
 		r.Refute = true
 	}
 }
 
-// Targets returns the targets of a service as routing sees them.
+// Targets returns the targets of a service in the form that routing uses.
 func (v *View) Targets(service string) []wharfrouting.Target {
 	config := v.Config()
 	v.membersMu.Lock()
@@ -96,7 +102,7 @@
 }
 
 func routingTarget(config *wharfconfig.Snapshot, m wharfmember.Member, t wharfmember.Target) wharfrouting.Target {
-	_, told := IsLeaving(config, m, t)
+	_, leaving := IsLeaving(config, m, t)
 	return wharfrouting.Target{
 		Address:       t.Address,
 		Node:          m.Node,
@@ -104,11 +110,12 @@
 		FailureDomain: m.FailureDomain,
 		Region:        m.Region,
 		Slots:         t.Slots,
-		Leaving:       told || t.Leaving || !m.TakesWork(),
+		Leaving:       leaving || t.Leaving || !m.TakesWork(),
 	}
 }
 
-// IsLeaving reports whether operators have told a target to leave.
+// IsLeaving reports whether the configuration marks a target as leaving, and by
+// which rule.
 func IsLeaving(config *wharfconfig.Snapshot, m wharfmember.Member, t wharfmember.Target) (string, bool) {
 	return config.IsLeaving(wharfconfig.TargetAttributes{
 		Service: t.Service, Address: t.Address, Node: m.Node,
@@ -116,14 +123,15 @@
 	})
 }
 
-// GossipPeers returns the nodes of one round of exchanges: one of those watched,
-// one random node nearby and one of another failure domain.
+// GossipPeers returns the peers of one gossip round: one of the monitored nodes in
+// turn, one random node of the same failure domain and one of another failure
+// domain.
 func (v *View) GossipPeers(round int, rng *rand.Rand) []wharfmember.Member {
 	v.membersMu.Lock()
 	defer v.membersMu.Unlock()
 	var out []wharfmember.Member
-	if watched := v.members.Monitored(v.node); len(watched) > 0 {
-		out = append(out, watched[round%len(watched)])
+	if monitored := v.members.Monitored(v.node); len(monitored) > 0 {
+		out = append(out, monitored[round%len(monitored)])
 	}
 	if m, ok := v.members.RandomLocal(v.node, rng); ok {
 		out = append(out, m)
@@ -134,14 +142,15 @@
 	return out
 }
 
-// MonitorCount returns how many nodes watch one node.
+// MonitorCount returns how many nodes monitor a node, which is as many as that
+// node monitors itself.
 func (v *View) MonitorCount(node string) int {
 	v.membersMu.Lock()
 	defer v.membersMu.Unlock()
 	return len(v.members.Monitored(node))
 }
 
-// Member returns the entry of a node.
+// Member returns the entry of a node, or false if the node isn't known.
 func (v *View) Member(node string) (wharfmember.Member, bool) {
 	v.membersMu.Lock()
 	defer v.membersMu.Unlock()
--- a/wharfnode/internal/wharfview/view.go
+++ b/wharfnode/internal/wharfview/view.go
@@ -13,16 +13,17 @@
 	"ragwortwharf.dev/wharf/wharfstream"
 )
 
-// keptRecords is how many records a node keeps to pass on to neighbours. Those
-// who are further behind get a snapshot.
-const keptRecords = 1024
+// maxKeptRecords bounds the log records that a node keeps for its gossip peers. A
+// peer that lags further gets a snapshot.
+const maxKeptRecords = 1024
 
-// View is what a node knows.
+// View is a node's current view of the log state and of the other nodes. It is
+// safe for concurrent use.
 type View struct {
 	locality wharfrouting.Locality
 	node     string
-	// self is the entry of this node, so that the request path reads it without
-	// a lock.
+	// self is the entry of this node. It is kept apart from members so that the
+	// request path reads it without a lock.
 	self atomic.Pointer[wharfmember.Member]
 
 	state       atomic.Pointer[wharfstate.State]
@@ -35,15 +36,15 @@
 
 	membersMu sync.Mutex
 	members   wharfmember.Table
-	// services is the number of services that have targets, so that the request
-	// path reads it without a lock.
+	// services is the number of services that have targets. It is kept apart
+	// from members so that the request path reads it without a lock.
 	services atomic.Int64
 
 	changedMu sync.Mutex
 	changed   chan struct{}
 }
 
-// New returns the view of a node that knows only itself.
+// New returns the view of a node that knows only its own entry.
 func New(self wharfmember.Member) *View {
 	v := &View{
 		node:     self.Node,
@@ -56,12 +57,12 @@
 	return v
 }
 
-// Locality returns where the node is.
+// Locality returns the failure domain and the region of the node.
 func (v *View) Locality() wharfrouting.Locality {
 	return v.locality
 }
 
-// Self returns the life of this node as an owner of keys.
+// Self returns the present incarnation of this node as an owner of keys.
 func (v *View) Self() wharfidempotency.Owner {
 	m := v.SelfMember()
 	return wharfidempotency.Owner{Node: m.Node, Incarnation: m.Incarnation, Address: m.Address}
@@ -82,12 +83,13 @@
 	return v.self.Load().Incarnation
 }
 
-// State returns the state folded from the log.
+// State returns the state built from the log. It is nil, which means empty, until
+// the first record or snapshot is applied.
 func (v *View) State() *wharfstate.State {
 	return v.state.Load()
 }
 
-// Config returns the configuration in force.
+// Config returns the present configuration.
 func (v *View) Config() *wharfconfig.Snapshot {
 	return v.State().Config()
 }
@@ -97,17 +99,17 @@
 	return int(v.services.Load())
 }
 
-// Version changes with each change of state or members.
+// Version returns a number that changes with each change of state or members.
 func (v *View) Version() uint64 {
 	return v.version.Load()
 }
 
-// Ownership returns the ownership of keys and how fresh it is.
+// Ownership returns the ownership table and the time at which it was confirmed.
 func (v *View) Ownership() wharfidempotency.OwnershipView {
 	return wharfidempotency.OwnershipView{Table: v.State().Ownership(), ConfirmedAt: *v.confirmedAt.Load()}
 }
 
-// DedupWindow returns the bounds on resends that are in force.
+// DedupWindow returns the bounds on resends from the present configuration.
 func (v *View) DedupWindow() wharfidempotency.DedupWindow {
 	c := v.Config()
 	return wharfidempotency.DedupWindow{Resend: c.ResendHorizon(), Skew: c.ClockSkew(), Staleness: c.HomeStaleness()}
@@ -118,8 +120,8 @@
 	return *v.confirmedAt.Load()
 }
 
-// Confirm notes that the log ended at an offset at a time. It has effect
-// only if the state has come that far.
+// Confirm records that the log ended at an offset at a time. It has no effect if
+// the state hasn't reached the offset or is confirmed for a later time.
 func (v *View) Confirm(offset uint64, at time.Time) {
 	if v.State().Offset() < offset {
 		return
@@ -132,13 +134,14 @@
 	}
 }
 
-// ResetConfirmation withdraws all confirmation that the state is complete. A node that
-// was paused does so, and runs no chosen key until it has caught up.
+// ResetConfirmation discards the confirmation that the state is complete. After a
+// process pause the node calls it, and then runs no key that a caller chose until
+// the state is confirmed again.
 func (v *View) ResetConfirmation() {
 	v.confirmedAt.Store(&time.Time{})
 }
 
-// Apply takes records of the log and reports whether the state advanced.
+// Apply applies log records to the state and reports whether the state advanced.
 func (v *View) Apply(records []wharfstream.Record) bool {
 	v.stateMu.Lock()
 	defer v.stateMu.Unlock()
@@ -148,12 +151,13 @@
 		return false
 	}
 	v.state.Store(after)
-	v.keep(records, after.Offset())
+	v.keepRecords(records, after.Offset())
 	v.notify()
 	return true
 }
 
-// Restore takes a whole state if it is further than the present one.
+// Restore replaces the state by that of a snapshot if the snapshot has a higher
+// offset. It reports whether it did.
 func (v *View) Restore(s *wharfstate.State) bool {
 	v.stateMu.Lock()
 	defer v.stateMu.Unlock()
@@ -166,8 +170,9 @@
 	return true
 }
 
-// keep adds records to those passed on; the caller holds stateMu.
-func (v *View) keep(records []wharfstream.Record, upTo uint64) {
+// keepRecords adds records, up to an offset, to those kept for gossip peers. The
+// caller holds stateMu.
+func (v *View) keepRecords(records []wharfstream.Record, upTo uint64) {
 	for _, r := range records {
 		if r.Offset > upTo {
 			break
@@ -179,13 +184,14 @@
 			v.records = []wharfstream.Record{r}
 		}
 	}
-	if extra := len(v.records) - keptRecords; extra > 0 {
+	if extra := len(v.records) - maxKeptRecords; extra > 0 {
 		v.records = append([]wharfstream.Record(nil), v.records[extra:]...)
 	}
 }
 
-// RecordsAfter returns kept records after an offset, up to a number of bytes.
-// It is false if records in between are no longer kept.
+// RecordsAfter returns the kept records after an offset, up to a number of bytes
+// but at least one. It returns false if some records after the offset are no
+// longer kept.
 func (v *View) RecordsAfter(offset uint64, maxBytes int) ([]wharfstream.Record, bool) {
 	v.stateMu.Lock()
 	defer v.stateMu.Unlock()
@@ -206,7 +212,7 @@
 	return rest[:len(rest):len(rest)], true
 }
 
-// notify wakes those who wait for a change.
+// notify wakes all goroutines that wait for a change.
 func (v *View) notify() {
 	v.version.Add(1)
 	v.changedMu.Lock()
@@ -215,7 +221,7 @@
 	v.changed = make(chan struct{})
 }
 
-// Changed returns a channel that is closed at the next change.
+// Changed returns a channel that is closed at the next change of state or members.
 func (v *View) Changed() <-chan struct{} {
 	v.changedMu.Lock()
 	defer v.changedMu.Unlock()
