--- a/wharfnode/internal/wharfadmin/api.go
+++ b/wharfnode/internal/wharfadmin/api.go
@@ -23,16 +23,17 @@
 const (
 	// maxAnnouncement bounds the body of an announcement, in bytes.
 	maxAnnouncement = 64 << 10
-	maxSlots        = 100_000
+	// maxSlots bounds the slots that a target announces.
+	maxSlots = 100_000
 )
 
-// targetKeeper takes what the targets of this node announce.
-type targetKeeper interface {
+// targetRegistrar registers the targets that announce themselves to this node.
+type targetRegistrar interface {
 	Renew(t wharfmember.Target)
 	Leave(address string) bool
 }
 
-// API serves operators and targets.
+// API holds the HTTP handlers for operators and targets.
 type API struct {
 	View       *wharfview.View
 	Registry   *wharftarget.Registry
@@ -40,18 +41,18 @@
 	Ledger     *wharfbudget.Ledger
 	Keys       *wharfidempotency.KeyStore
 	Quarantine *wharfquarantine.List
-	Targets    targetKeeper
+	Targets    targetRegistrar
 	Auditor    auditor
 	Log        wharfevents.Log
 	Metrics    wharfevents.Metrics
 }
 
-// auditor records acts of the node.
+// auditor records actions of the node.
 type auditor interface {
-	Audit(act string, details ...wharfevents.Field)
+	Audit(action string, details ...wharfevents.Field)
 }
 
-// Handler returns the routes of the API.
+// Handler returns the HTTP handler of the API.
 func (a *API) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /wharf/v1/targets", a.announce)
@@ -67,7 +68,7 @@
 	return mux
 }
 
-// apiError is the body of every answer that refuses a request.
+// apiError is the body of every error response.
 type apiError struct {
 	Code    string `json:"code"`
 	Message string `json:"message"`
@@ -76,16 +77,16 @@
 func reply(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	// The client that went away needs no answer.
+	// A client that has disconnected needs no response.
 	_ = json.NewEncoder(w).Encode(body)
 }
 
-// announce takes the announcement of a target, and renews it.
+// announce registers a target, or renews its announcement.
 func (a *API) announce(w http.ResponseWriter, r *http.Request) {
-	t, f := readTarget(w, r)
-	if f != nil {
-		a.Log.Emit(wharfevents.TargetRefused, wharfevents.Field{Name: "fault", Value: f.Message})
-		reply(w, http.StatusBadRequest, f)
+	t, apiErr := readTarget(w, r)
+	if apiErr != nil {
+		a.Log.Emit(wharfevents.TargetRefused, wharfevents.Field{Name: "fault", Value: apiErr.Message})
+		reply(w, http.StatusBadRequest, apiErr)
 		return
 	}
 	a.Targets.Renew(t)
@@ -117,7 +118,7 @@
 	return t, nil
 }
 
-// leave marks a target as leaving: it takes no new work from now on.
+// leave marks a target as leaving. The target gets no new requests from then on.
 func (a *API) leave(w http.ResponseWriter, r *http.Request) {
 	address := r.URL.Query().Get("address")
 	if !a.Targets.Leave(address) {
@@ -131,7 +132,7 @@
 	reply(w, http.StatusOK, a.Registry.Status())
 }
 
-// Status is the answer to a request for the status of a node.
+// Status is the response body of the status route of a node.
 type Status struct {
 	Self     wharfmember.Member   `json:"self"`
 	Offset   uint64               `json:"offset"`
@@ -146,7 +147,7 @@
 	Targets  []wharftarget.Status `json:"targets"`
 }
 
-// unconfirmedAge stands for the age of a state that nothing has confirmed.
+// unconfirmedAge is the reported age of a state that has not been confirmed.
 const unconfirmedAge = -1
 
 func (a *API) status(w http.ResponseWriter, _ *http.Request) {
@@ -162,8 +163,8 @@
 		Owned:    a.View.State().Ownership().OwnedBy(a.View.Self()),
 		Targets:  a.Registry.Status(),
 	}
-	if fresh := a.View.ConfirmedAt(); !fresh.IsZero() {
-		s.StateAge = time.Since(fresh).Seconds()
+	if confirmedAt := a.View.ConfirmedAt(); !confirmedAt.IsZero() {
+		s.StateAge = time.Since(confirmedAt).Seconds()
 	}
 	s.Members = a.View.KnownNodes()
 	reply(w, http.StatusOK, s)
@@ -175,7 +176,7 @@
 	reply(w, http.StatusOK, all)
 }
 
-// Config is the answer to a request for the configuration.
+// Config is the response body of the configuration route.
 type Config struct {
 	Offset  uint64               `json:"offset"`
 	Objects []wharfconfig.Object `json:"objects"`
--- a/wharfnode/internal/wharfadmin/doc.go
+++ b/wharfnode/internal/wharfadmin/doc.go
@@ -1,4 +1,4 @@
-// Package wharfadmin is the HTTP API of a node for operators and for the
-// targets on its VM: announcements, status, configuration, members, audit and
-// metrics.
+// Package wharfadmin implements the HTTP API of a node for operators and for the
+// targets on its VM: target announcements, status, members, configuration, audit,
+// explain, quarantine and metrics.
 package wharfadmin
--- a/wharfnode/internal/wharfadmin/explain.go
+++ b/wharfnode/internal/wharfadmin/explain.go
@@ -6,8 +6,8 @@
 	"ragwortwharf.dev/wharf/wharfconfig"
 )
 
-// Explanation says how a request would be treated. The rules name what decided
-// each value; an empty one means the default.
+// Explanation describes how the node would treat a request. Each rule field names
+// the configuration rule that decided a value; an empty one means the default.
 type Explanation struct {
 	Labels         string `json:"labels"`
 	Request        string `json:"request,omitempty"`
--- a/wharfnode/internal/wharfadmin/quarantine.go
+++ b/wharfnode/internal/wharfadmin/quarantine.go
@@ -12,18 +12,18 @@
 type Suspect struct {
 	// Fingerprint is in hexadecimal, as in the audit trail.
 	Fingerprint string `json:"fingerprint"`
-	// Quarantined says that the request is refused everywhere.
+	// Quarantined is whether all nodes refuse the request.
 	Quarantined bool      `json:"quarantined"`
 	Expires     time.Time `json:"expires"`
 	Crashes     []Crash   `json:"crashes"`
 }
 
-// Crash is a crash that a request was in flight in.
+// Crash is a target crash during which the request was in flight.
 type Crash struct {
 	Target      string `json:"target"`
 	Incarnation uint64 `json:"incarnation"`
 	Number      int    `json:"number"`
-	// Cleared says that the request has run without harm since.
+	// Cleared is whether the request has since completed without a crash.
 	Cleared bool `json:"forgiven"`
 }
 
