--- a/wharfnode/wharfprotocol/doc.go
+++ b/wharfnode/wharfprotocol/doc.go
@@ -1,7 +1,7 @@
-// Package wharfprotocol is how a node speaks with callers and targets: which
-// headers say what, and how an outcome is written. The decisions of the node
-// know none of it.
+// Package wharfprotocol defines the protocol between a node and its callers and
+// targets: which headers carry which information, and how an outcome is written.
+// The packages that decide on requests don't depend on it.
 //
-// Native is the project's own dialect. Where callers and targets speak another
-// one, the program that composes the node brings it.
+// Native is the project's own protocol. If callers and targets use another
+// protocol, the program that builds the node supplies an implementation of it.
 package wharfprotocol
--- a/wharfnode/wharfprotocol/native.go
+++ b/wharfnode/wharfprotocol/native.go
@@ -17,10 +17,11 @@
 	maxNameLength = 256
 )
 
-// Native is the project's own dialect.
+// Native is the project's own protocol. It uses the headers of package wharfwire.
 type Native struct{}
 
-// Identify reads the headers of package wharfwire.
+// Identify reads the headers of a request. It returns the reason for a refusal if
+// the service is missing or a header is malformed.
 func (Native) Identify(r *http.Request) (Request, wharfoutcome.Reason) {
 	q := Request{
 		Service: serviceOf(r),
@@ -44,7 +45,8 @@
 	return q, wharfoutcome.ReasonNone
 }
 
-// serviceOf returns the service that a request names: by header, else by host.
+// serviceOf returns the service that a request names in its header, or else in
+// its host. It is empty if the host is an IP address or localhost.
 func serviceOf(r *http.Request) string {
 	if name := r.Header.Get(wharfwire.HeaderService); name != "" {
 		return name
@@ -68,29 +70,30 @@
 	WriteOutcome(w, o.HTTPStatus(), o)
 }
 
-// SetResponseHeaders names the outcome.
+// SetResponseHeaders sets the outcome header to completed.
 func (Native) SetResponseHeaders(h http.Header) {
 	h.Set(wharfwire.HeaderOutcome, wharfoutcome.Completed.String())
 }
 
-// SetRequestHeaders sets the context and the time that is left.
+// SetRequestHeaders sets the context and the remaining time, at least 1 ms.
 func (Native) SetRequestHeaders(r *http.Request, d Dispatch) {
 	r.Header.Set(wharfwire.HeaderContext, d.Context)
 	r.Header.Set(wharfwire.HeaderTimeout, strconv.FormatInt(max(d.Remaining.Milliseconds(), 1), 10))
 }
 
-// Classify believes a target that says it did not run the request.
-func (Native) Classify(answer *http.Response, _ Dispatch) Classification {
-	if answer.Header.Get(wharfwire.HeaderOutcome) != wharfoutcome.NotRun.String() {
+// Classify returns Completed unless the target reports in the outcome header that
+// it did not run the request.
+func (Native) Classify(response *http.Response, _ Dispatch) Classification {
+	if response.Header.Get(wharfwire.HeaderOutcome) != wharfoutcome.NotRun.String() {
 		return Classification{Kind: wharfoutcome.Completed}
 	}
-	v := Classification{Kind: wharfoutcome.NotRun, Reason: wharfoutcome.Reason(answer.Header.Get(wharfwire.HeaderReason))}
-	if v.Reason == wharfoutcome.ReasonNone {
-		v.Reason = wharfoutcome.ReasonOverload
+	c := Classification{Kind: wharfoutcome.NotRun, Reason: wharfoutcome.Reason(response.Header.Get(wharfwire.HeaderReason))}
+	if c.Reason == wharfoutcome.ReasonNone {
+		c.Reason = wharfoutcome.ReasonOverload
 	}
-	seconds, err := strconv.Atoi(answer.Header.Get(wharfwire.HeaderRetryAfter))
+	seconds, err := strconv.Atoi(response.Header.Get(wharfwire.HeaderRetryAfter))
 	if err == nil && seconds > 0 {
-		v.RetryAfter = time.Duration(seconds) * time.Second
+		c.RetryAfter = time.Duration(seconds) * time.Second
 	}
-	return v
+	return c
 }
--- a/wharfnode/wharfprotocol/protocol.go
+++ b/wharfnode/wharfprotocol/protocol.go
@@ -9,65 +9,65 @@
 	"ragwortwharf.dev/wharf/wharfoutcome"
 )
 
-// Request is what a caller says of its request.
+// Request holds what a caller states about its request in the headers.
 type Request struct {
 	// ID is the caller's own id of the request, empty if it gave none.
 	ID string
-	// Service is the service that is called. It is empty if the routes decide.
+	// Service is the called service. It is empty if the routes select it.
 	Service string
-	// Caller is the service or client that calls.
+	// Caller is the calling service or client account.
 	Caller string
 	// Key is the caller's idempotency key.
 	Key string
-	// Context ties the request to the one it is made for.
+	// Context links the request to the request that it is made for.
 	Context string
-	// Timeout is how long the caller waits, zero if it doesn't say.
+	// Timeout is how long the caller waits, zero if it gave none.
 	Timeout time.Duration
 }
 
-// CallerProtocol is how callers are spoken with.
+// CallerProtocol is the protocol between a node and its callers.
 type CallerProtocol interface {
-	// Identify reads what a request says of itself. A reason other than
-	// ReasonNone refuses the request.
+	// Identify reads the headers of a request. The node refuses the request if
+	// the reason isn't ReasonNone.
 	Identify(r *http.Request) (Request, wharfoutcome.Reason)
-	// Refuse writes an outcome that has no answer of a target.
+	// Refuse writes the outcome of a request that has no response of a target.
 	Refuse(w http.ResponseWriter, o wharfoutcome.Outcome)
-	// SetResponseHeaders marks the headers of a target's answer.
+	// SetResponseHeaders adds the outcome to the headers of a target's response.
 	SetResponseHeaders(h http.Header)
 }
 
-// Dispatch is what a target is told with a request.
+// Dispatch holds what a node sends to a target together with a request.
 type Dispatch struct {
 	RequestID string
 	Host      string
 	Caller    string
-	// Instance is the life of the target that the request is meant for, empty
-	// if the target told none.
+	// Instance identifies the incarnation of the target that the request is
+	// meant for. It is empty if the target announced none.
 	Instance string
 	Context  string
-	// Remaining is the time in which an answer is still of use.
+	// Remaining is the time until the deadline of the request.
 	Remaining time.Duration
 }
 
-// Classification is what an answer of a target means.
+// Classification is the meaning of a target's response.
 type Classification struct {
-	// Kind is Completed for an answer to the request, NotRun if the target says
-	// that it did not run it, and Unknown if the answer belongs to another
-	// request or isn't the target's.
+	// Kind is Completed for a response to the request, NotRun if the target
+	// reports that it did not run the request, and Unknown if the response
+	// belongs to another request or doesn't come from the target.
 	Kind       wharfoutcome.Kind
 	Reason     wharfoutcome.Reason
 	RetryAfter time.Duration
 }
 
-// TargetProtocol is how targets are spoken with.
+// TargetProtocol is the protocol between a node and its targets.
 type TargetProtocol interface {
-	// SetRequestHeaders completes a request to a target.
+	// SetRequestHeaders sets the headers of a request to a target.
 	SetRequestHeaders(r *http.Request, d Dispatch)
-	// Classify decides what an answer means.
-	Classify(answer *http.Response, d Dispatch) Classification
+	// Classify returns the meaning of a target's response.
+	Classify(response *http.Response, d Dispatch) Classification
 }
 
-// Protocol is how callers and targets are spoken with.
+// Protocol is the protocol between a node and its callers and targets.
 type Protocol interface {
 	CallerProtocol
 	TargetProtocol
@@ -81,8 +81,8 @@
 	return host
 }
 
-// WriteOutcome ends an answer without a target: its status, and the outcome as a
-// line of text.
+// WriteOutcome writes the response to a request that has no response of a target:
+// the status, and the outcome as a line of text.
 func WriteOutcome(w http.ResponseWriter, status int, o wharfoutcome.Outcome) {
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 	w.WriteHeader(status)
