--- a/wharfnode/wharfevents/catalogue.go
+++ b/wharfnode/wharfevents/catalogue.go
@@ -9,7 +9,7 @@
 	"github.com/samber/oops"
 )
 
-// Event is an entry of the catalogue.
+// Event is an entry of the catalogue: one kind of log line.
 type Event struct {
 	Number  int
 	Name    string
@@ -95,10 +95,10 @@
 	DirectoryUnavailable, NodeSilent, NodeAnswers,
 }
 
-// Log writes numbered events. The zero Log writes nothing.
+// Log writes events to a logger. The zero Log writes nothing.
 type Log struct {
 	Logger log.Interface
-	// Dropped returns how many lines were dropped so far. It may be nil.
+	// Dropped returns the number of log lines dropped so far. It may be nil.
 	Dropped func() uint64
 }
 
@@ -108,13 +108,13 @@
 	Value any
 }
 
-// ErrorField is the error that led to an event.
+// ErrorField returns a field with the error that caused an event.
 func ErrorField(err error) Field {
 	return Field{Name: "error", Value: describe(err)}
 }
 
-// describe gives an error's code, text and details in a line, and leaves out where
-// in the source it arose.
+// describe returns the code, text and details of an error in one line, without
+// the source location.
 func describe(err error) string {
 	if err == nil {
 		return ""
@@ -134,14 +134,14 @@
 	return text
 }
 
-// Enabled reports whether events of this kind are written, so that a caller on the
-// path of requests may spare the work of describing one.
+// Enabled reports whether an event would be written, so that code on the request
+// path can avoid the cost of building the fields.
 func (l Log) Enabled(e Event) bool {
 	logger, ok := l.Logger.(*log.Logger)
 	return l.Logger != nil && (!ok || logger.Level <= e.Level)
 }
 
-// Emit writes an event with its details.
+// Emit writes an event with its fields.
 func (l Log) Emit(e Event, fields ...Field) {
 	if !l.Enabled(e) {
 		return
--- a/wharfnode/wharfevents/cause_test.go
+++ b/wharfnode/wharfevents/cause_test.go
@@ -9,6 +9,8 @@
 	"github.com/samber/oops"
 )
 
+// TestCauseSaysCodeAndDetailsOnly guards against log lines that carry a source
+// location or lack the code or details of an error.
 func TestCauseSaysCodeAndDetailsOnly(t *testing.T) {
 	is := is.New(t)
 	is.Equal(ErrorField(errors.New("no room")).Value, "no room")
--- a/wharfnode/wharfevents/doc.go
+++ b/wharfnode/wharfevents/doc.go
@@ -1,6 +1,7 @@
-// Package wharfevents is the catalogue of what a node logs and counts.
+// Package wharfevents defines the events that a node logs and the metrics that it
+// counts.
 //
 // Each log line is a numbered event of the catalogue, which docs/EVENTS.md
-// explains to operators; a test holds the two together. Metrics have one
-// place too, so that docs/METRICS.md can list them.
+// explains to operators. A test checks that the page and the catalogue agree. The
+// metrics are defined in one place too, so that docs/METRICS.md can list them.
 package wharfevents
--- a/wharfnode/wharfevents/docs_test.go
+++ b/wharfnode/wharfevents/docs_test.go
@@ -22,10 +22,13 @@
 	return string(data)
 }
 
+// TestEventsAreDocumented checks that EVENTS.md lists exactly the events of the
+// catalogue, with the same number, name, level and message, and that each number
+// is used once.
 func TestEventsAreDocumented(t *testing.T) {
 	is := is.New(t)
 	page := readDoc(t, "EVENTS.md")
-	rows := strings.Count(page, "\n| ") - 2 // without head and rule
+	rows := strings.Count(page, "\n| ") - 2 // without the header and delimiter rows
 	is.Equal(rows, len(Catalogue))
 	numbers := map[int]bool{}
 	for _, e := range Catalogue {
@@ -38,8 +41,9 @@
 	}
 }
 
-// TestCatalogueIsWhole finds events that are declared and not listed.
-func TestCatalogueIsWhole(t *testing.T) {
+// TestCatalogueIsComplete guards against an event that is declared but missing from
+// Catalogue.
+func TestCatalogueIsComplete(t *testing.T) {
 	source, err := os.ReadFile("catalogue.go")
 	if err != nil {
 		t.Fatal(err)
@@ -48,6 +52,8 @@
 	is.New(t).Equal(len(declared), len(Catalogue))
 }
 
+// TestMetricsAreDocumented checks that METRICS.md names exactly the metrics that the
+// source uses.
 func TestMetricsAreDocumented(t *testing.T) {
 	page := readDoc(t, "METRICS.md")
 	used := map[string]bool{}
--- a/wharfnode/wharfevents/metrics.go
+++ b/wharfnode/wharfevents/metrics.go
@@ -15,19 +15,20 @@
 	set *metrics.Set
 }
 
-// NewMetrics returns a set of metrics of its own, so that several nodes in one
+// NewMetrics returns metrics with a separate set, so that several nodes in one
 // test process don't share counters.
 func NewMetrics() Metrics {
 	return Metrics{set: metrics.NewSet()}
 }
 
-// WritePrometheus writes all metrics in the usual text form.
+// WritePrometheus writes all metrics and those of the process in the Prometheus
+// text format.
 func (m Metrics) WritePrometheus(w io.Writer) {
 	m.set.WritePrometheus(w)
 	metrics.WriteProcessMetrics(w)
 }
 
-// Call counts a call that ended at the entry.
+// Call counts a call that ended at the proxy, and records its duration.
 func (m Metrics) Call(class string, o wharfoutcome.Outcome, elapsed time.Duration) {
 	if m.set == nil {
 		return
@@ -36,7 +37,7 @@
 	m.set.GetOrCreateHistogram(fmt.Sprintf("wharf_call_seconds{class=%q}", class)).Update(elapsed.Seconds())
 }
 
-// Attempt counts an attempt that an entry sent.
+// Attempt counts an attempt that the proxy sent to a target's node.
 func (m Metrics) Attempt(retry bool) {
 	if m.set == nil {
 		return
@@ -44,7 +45,7 @@
 	m.set.GetOrCreateCounter(fmt.Sprintf("wharf_attempts_total{retry=%q}", fmt.Sprint(retry))).Inc()
 }
 
-// Dispatch counts a request that a target's node ended.
+// Dispatch counts a request that ended at the target's node.
 func (m Metrics) Dispatch(class string, o wharfoutcome.Outcome) {
 	if m.set == nil {
 		return
@@ -52,7 +53,7 @@
 	m.set.GetOrCreateCounter(fmt.Sprintf("wharf_dispatches_total{class=%q,outcome=%q,reason=%q}", class, o.Kind, o.Reason)).Inc()
 }
 
-// ControlBytes counts the bytes of an exchange with another node.
+// ControlBytes counts the bytes sent or received in exchanges with other nodes.
 func (m Metrics) ControlBytes(direction string, bytes int) {
 	if m.set == nil {
 		return
@@ -60,7 +61,7 @@
 	m.set.GetOrCreateCounter(fmt.Sprintf("wharf_control_bytes_total{direction=%q}", direction)).Add(bytes)
 }
 
-// LogAppend counts records written to the platform's log.
+// LogAppend counts an append to a stream of the platform's log, by its result.
 func (m Metrics) LogAppend(stream, result string) {
 	if m.set == nil {
 		return
@@ -68,7 +69,7 @@
 	m.set.GetOrCreateCounter(fmt.Sprintf("wharf_log_appends_total{stream=%q,result=%q}", stream, result)).Inc()
 }
 
-// Gauge publishes a value that is read when it is asked for.
+// Gauge registers a gauge whose value is read each time the metrics are written.
 func (m Metrics) Gauge(name string, read func() float64) {
 	if m.set == nil {
 		return
