--- a/wharfnode/wharfsettings/doc.go
+++ b/wharfnode/wharfsettings/doc.go
@@ -1,3 +1,3 @@
-// Package wharfsettings holds the settings of a node: flags and environment
-// variables, checked together at the start.
+// Package wharfsettings defines the settings of a node, which come from flags and
+// environment variables and are checked together at startup.
 package wharfsettings
--- a/wharfnode/wharfsettings/settings_test.go
+++ b/wharfnode/wharfsettings/settings_test.go
@@ -18,7 +18,9 @@
 	return s, code, out.String()
 }
 
-func TestFaultsAreReportedTogether(t *testing.T) {
+// TestIssuesAreReportedTogether guards against a start that reports only the first
+// of several bad settings.
+func TestIssuesAreReportedTogether(t *testing.T) {
 	tests := []struct {
 		name string
 		args []string
@@ -29,7 +31,7 @@
 			[]string{"--caller-listen", "--node-listen", "--admin-listen", "--seeds"}},
 		{"advertise needed", []string{"--node-listen", "0.0.0.0:7001"}, []string{"--advertise: is needed"}},
 		{"too short", []string{"--stop-timeout", "1ms"}, []string{"--stop-timeout: 1ms is shorter than 1s"}},
-		{"no duration", []string{"--stop-timeout", "soon"}, []string{"--stop-timeout"}},
+		{"malformed duration", []string{"--stop-timeout", "soon"}, []string{"--stop-timeout"}},
 		{"unknown variant", []string{"--limiter", "guess"}, []string{"--limiter must be one of"}},
 	}
 	for _, tc := range tests {
