--- a/wharfctl/audit.go
+++ b/wharfctl/audit.go
@@ -14,19 +14,20 @@
 	"ragwortwharf.dev/wharf/wharfstream"
 )
 
-// auditCommand shows the changes of operators and the acts of nodes.
+// auditCommand prints the audit trail: changes by operators, changes of key
+// ownership, and automatic actions of nodes.
 type auditCommand struct {
 	logAccess
 }
 
-// auditLine is one line of the trail.
+// auditLine is one line of the audit trail.
 type auditLine struct {
 	at   time.Time
 	text string
 }
 
-// nodeAct is an act of a node as it stands in the audit stream.
-type nodeAct struct {
+// nodeAction is an automatic action of a node as recorded in the audit stream.
+type nodeAction struct {
 	Time    time.Time `json:"time"`
 	Node    string    `json:"node"`
 	Act     string    `json:"act"`
@@ -36,18 +37,18 @@
 	} `json:"details"`
 }
 
-// Run prints the trail, the oldest first.
+// Run prints the audit trail, oldest line first.
 func (c *auditCommand) Run(ctx context.Context, t *terminal) error {
 	return c.do(ctx, func(ctx context.Context, s session) error {
 		records, err := s.publisher.Records(ctx, wharfstate.Stream)
 		if err != nil {
 			return err
 		}
-		acts, err := s.publisher.Records(ctx, wharfstate.AuditStream)
+		actions, err := s.publisher.Records(ctx, wharfstate.AuditStream)
 		if err != nil {
 			return err
 		}
-		lines := slices.Concat(ownershipLines(records), actLines(acts), changeLines(s.state))
+		lines := slices.Concat(ownershipLines(records), actionLines(actions), changeLines(s.state))
 		slices.SortStableFunc(lines, func(a, b auditLine) int { return cmp.Compare(a.at.UnixNano(), b.at.UnixNano()) })
 		for _, l := range lines {
 			t.printf("%s  %s\n", l.at.UTC().Format(time.RFC3339), l.text)
@@ -56,16 +57,16 @@
 	})
 }
 
-// changeLines describes the changes of operators.
+// changeLines returns a line for each configuration change by an operator.
 func changeLines(state *wharfstate.State) []auditLine {
 	var out []auditLine
-	for _, v := range state.Config().Decisions() {
-		out = append(out, auditLine{v.Time, fmt.Sprintf("%s changed %s: %s at offset %d", v.Author, joinKeys(v.Keys), verdictOf(v), v.Offset)})
+	for _, d := range state.Config().Decisions() {
+		out = append(out, auditLine{d.Time, fmt.Sprintf("%s changed %s: %s at offset %d", d.Author, joinKeys(d.Keys), decisionText(d), d.Offset)})
 	}
 	return out
 }
 
-// ownershipLines describes the moves of the ownership of keys.
+// ownershipLines returns a line for each record about the ownership of keys.
 func ownershipLines(records []wharfstream.Record) []auditLine {
 	var out []auditLine
 	for _, r := range records {
@@ -73,23 +74,25 @@
 		if !ok || e.Ownership == nil {
 			continue
 		}
-		who := e.Ownership.Node
+		actor := e.Ownership.Node
 		if e.Ownership.Kind == wharfidempotency.Evict {
-			who = e.Ownership.By + " for " + e.Ownership.Node
+			actor = e.Ownership.By + " for " + e.Ownership.Node
 		}
-		out = append(out, auditLine{r.Time, fmt.Sprintf("%s: ownership %s at offset %d", who, e.Ownership.Kind, r.Offset)})
+		out = append(out, auditLine{r.Time, fmt.Sprintf("%s: ownership %s at offset %d", actor, e.Ownership.Kind, r.Offset)})
 	}
 	return out
 }
 
-func actLines(records []wharfstream.Record) []auditLine {
+// actionLines returns a line for each action in the audit stream. Records that
+// can't be decoded are skipped.
+func actionLines(records []wharfstream.Record) []auditLine {
 	var out []auditLine
 	for _, r := range records {
-		var acts []nodeAct
-		if json.Unmarshal(r.Data, &acts) != nil {
+		var actions []nodeAction
+		if json.Unmarshal(r.Data, &actions) != nil {
 			continue
 		}
-		for _, a := range acts {
+		for _, a := range actions {
 			var details []string
 			for _, d := range a.Details {
 				details = append(details, d.Name+"="+d.Value)
--- a/wharfctl/doc.go
+++ b/wharfctl/doc.go
@@ -1,3 +1,4 @@
-// Wharfctl is the operators' command: it checks and publishes configuration,
-// changes labels, and shows what is in force, why, and who changed it.
+// Wharfctl is the command line tool for operators. It checks and publishes
+// configuration, changes target labels, and shows the state of nodes, the
+// treatment of a request, the history of changes and the audit trail.
 package main
--- a/wharfctl/evict.go
+++ b/wharfctl/evict.go
@@ -6,29 +6,31 @@
 	"github.com/samber/oops"
 )
 
-// evictCommand ends the ownership of a node that is gone.
+// evictCommand ends the key ownership of a node that is permanently down.
 type evictCommand struct {
 	changeAccess
 	nodeAccessForEviction
-	ID string `arg:"" help:"Id of the node, as FAILURE-DOMAIN/IP:port."`
+	ID string `arg:"" help:"ID of the node to evict, as FAILURE-DOMAIN/IP:port."`
 }
 
-// nodeAccessForEviction names a node that is asked whether the one to evict is
-// still heard.
+// nodeAccessForEviction names a running node whose member list shows whether
+// the node to evict is down.
 type nodeAccessForEviction struct {
-	Node string `required:"" env:"WHARF_NODE_ADMIN" help:"Admin URL of a node that is asked whether the evicted one is still heard."`
+	Node string `required:"" env:"WHARF_NODE_ADMIN" help:"Admin URL of a running node; the eviction is refused if its member list shows that the evicted node is not down."`
 }
 
-// memberState is the part of a member that decides on an eviction.
+// memberState is the part of a member list entry that an eviction depends on.
 type memberState struct {
 	Node  string `json:"node"`
 	State int    `json:"state"`
 }
 
-// stateDown is the least state in which a member is no longer heard.
+// stateDown is the lowest member state in which an eviction is allowed. The
+// lower states are alive and leaving.
 const stateDown = 2
 
-// Run writes the eviction, unless others still hear the node.
+// Run appends the eviction to the log, unless the member list shows that the
+// node is not down.
 func (c *evictCommand) Run(ctx context.Context, t *terminal) error {
 	return c.do(ctx, func(ctx context.Context, s session) error {
 		var members []memberState
@@ -37,7 +39,7 @@
 		}
 		for _, m := range members {
 			if m.Node == c.ID && m.State < stateDown {
-				return oops.Code("still-heard").Errorf("node %s is still heard by others; stop it instead", c.ID)
+				return oops.Code("still-heard").Errorf("node %s is not down according to its peers; stop it instead", c.ID)
 			}
 		}
 		if err := s.publisher.Evict(ctx, s.state, c.Author, c.ID); err != nil {
--- a/wharfctl/explain.go
+++ b/wharfctl/explain.go
@@ -8,18 +8,19 @@
 	"ragwortwharf.dev/wharfctl/internal/wharfpublish"
 )
 
-// explainCommand shows how a request would be treated.
+// explainCommand prints the class, timeout and other settings that a request
+// would get.
 type explainCommand struct {
-	LogURL  string        `env:"WHARF_LOG_URL" help:"URL of the platform's append-only log; without it only the files count."`
-	Timeout time.Duration `default:"10s" env:"WHARF_TIMEOUT" help:"Longest wait for the log."`
-	Files   []string      `short:"f" help:"Configuration files that are taken as published."`
+	LogURL  string        `env:"WHARF_LOG_URL" help:"URL of the platform's append-only log; if it is empty, only the files are used."`
+	Timeout time.Duration `default:"10s" env:"WHARF_TIMEOUT" help:"Total time to wait for the log."`
+	Files   []string      `short:"f" help:"Configuration files to treat as if they were published."`
 	Service string        `required:"" help:"Service of the request."`
 	Method  string        `default:"GET" help:"Method of the request."`
 	Path    string        `default:"/" help:"Path of the request."`
 	Caller  string        `help:"Caller of the request."`
 }
 
-// Run prints the treatment and the rules that decided it.
+// Run prints the settings of the request and the rule that each comes from.
 func (c *explainCommand) Run(ctx context.Context, t *terminal) error {
 	config, err := c.config(ctx)
 	if err != nil {
@@ -30,21 +31,23 @@
 		t.printf("service %s is not configured\n", c.Service)
 	}
 	t.printf("labels      %s\n", p.Labels)
-	t.printf("class       %-16s rank %d, %s\n", p.Class.Name, p.Class.Rank, by(p.ClassRule))
-	t.printf("idempotent  %-16v %s\n", p.Idempotent, by(p.IdempotentRule))
-	t.printf("timeout     %-16v %s\n", p.Timeout, by(p.TimeoutRule))
-	t.printf("attempts    %-16d %s\n", p.Attempts, by(p.AttemptsRule))
+	t.printf("class       %-16s rank %d, %s\n", p.Class.Name, p.Class.Rank, ruleText(p.ClassRule))
+	t.printf("idempotent  %-16v %s\n", p.Idempotent, ruleText(p.IdempotentRule))
+	t.printf("timeout     %-16v %s\n", p.Timeout, ruleText(p.TimeoutRule))
+	t.printf("attempts    %-16d %s\n", p.Attempts, ruleText(p.AttemptsRule))
 	return nil
 }
 
-func by(rule string) string {
+// ruleText describes which rule set a value; an empty rule means the default.
+func ruleText(rule string) string {
 	if rule == "" {
 		return "by default"
 	}
 	return "by rule " + rule
 }
 
-// config returns what is in force, with the files taken as published.
+// config returns the current configuration with the files applied on top of it.
+// Without a log URL the current configuration is empty.
 func (c *explainCommand) config(ctx context.Context) (*wharfconfig.Snapshot, error) {
 	var config *wharfconfig.Snapshot
 	if c.LogURL != "" {
@@ -56,14 +59,15 @@
 			return nil, err
 		}
 	}
-	docs, faults := readFiles(c.Files)
-	faults = append(faults, wharfconfig.Validate(docs, config)...)
-	if len(faults) > 0 {
-		return nil, invalid(faults)
+	docs, issues := readFiles(c.Files)
+	issues = append(issues, wharfconfig.Validate(docs, config)...)
+	if len(issues) > 0 {
+		return nil, invalid(issues)
 	}
 	return withDocuments(config, docs), nil
 }
 
+// withDocuments returns the configuration after a change with the documents.
 func withDocuments(config *wharfconfig.Snapshot, docs []wharfconfig.SourceDocument) *wharfconfig.Snapshot {
 	change := wharfpublish.ProposedChange(config, docs)
 	return config.WithChanges([]wharfconfig.LoggedChange{change})
--- a/wharfctl/history.go
+++ b/wharfctl/history.go
@@ -8,30 +8,31 @@
 	"ragwortwharf.dev/wharf/wharfconfig"
 )
 
-// historyCommand shows the changes of objects.
+// historyCommand prints the changes of configuration objects.
 type historyCommand struct {
 	logAccess
-	Objects []string `arg:"" optional:"" help:"Objects as KIND/NAME; all if left out."`
+	Objects []string `arg:"" optional:"" help:"Objects as KIND/NAME; all objects if omitted."`
 }
 
-// Run prints one line for each change, the oldest first.
+// Run prints one line for each change, oldest first, followed by its conflicts.
 func (c *historyCommand) Run(ctx context.Context, t *terminal) error {
 	return c.do(ctx, func(_ context.Context, s session) error {
-		for _, v := range s.state.Config().Decisions() {
-			if c.concerns(v) {
-				t.printVerdict(v)
+		for _, d := range s.state.Config().Decisions() {
+			if c.matches(d) {
+				t.printDecision(d)
 			}
 		}
 		return nil
 	})
 }
 
-func (c *historyCommand) concerns(v wharfconfig.Decision) bool {
+// matches reports whether a change touches one of the requested objects.
+func (c *historyCommand) matches(d wharfconfig.Decision) bool {
 	if len(c.Objects) == 0 {
 		return true
 	}
 	for _, o := range c.Objects {
-		for _, k := range v.Keys {
+		for _, k := range d.Keys {
 			if strings.EqualFold(o, k.String()) {
 				return true
 			}
@@ -40,20 +41,20 @@
 	return false
 }
 
-func verdictOf(v wharfconfig.Decision) string {
-	if v.Accepted {
+func decisionText(d wharfconfig.Decision) string {
+	if d.Accepted {
 		return "accepted"
 	}
 	return "rejected"
 }
 
-func (t *terminal) printVerdict(v wharfconfig.Decision) {
-	t.printf("%s  offset %d  %s  %s  %s", v.Time.UTC().Format(time.RFC3339), v.Offset, v.Author, verdictOf(v), joinKeys(v.Keys))
-	if v.Note != "" {
-		t.printf("  (%s)", v.Note)
+func (t *terminal) printDecision(d wharfconfig.Decision) {
+	t.printf("%s  offset %d  %s  %s  %s", d.Time.UTC().Format(time.RFC3339), d.Offset, d.Author, decisionText(d), joinKeys(d.Keys))
+	if d.Note != "" {
+		t.printf("  (%s)", d.Note)
 	}
 	t.printf("\n")
-	for _, conflict := range v.Conflicts {
-		t.printf("    %s\n", describe(conflict))
+	for _, conflict := range d.Conflicts {
+		t.printf("    %s\n", describeConflict(conflict))
 	}
 }
--- a/wharfctl/internal/wharfpublish/doc.go
+++ b/wharfctl/internal/wharfpublish/doc.go
@@ -1,4 +1,4 @@
-// Package wharfpublish writes changes of configuration to the platform's log
-// and learns what became of them. It knows no terminal; the commands of
+// Package wharfpublish writes configuration changes to the platform's log and
+// determines whether they were accepted. It prints nothing; the commands of
 // wharfctl print what it returns.
 package wharfpublish
--- a/wharfctl/internal/wharfpublish/publisher.go
+++ b/wharfctl/internal/wharfpublish/publisher.go
@@ -16,32 +16,36 @@
 	"ragwortwharf.dev/wharf/wharftimer"
 )
 
-// platform is the log as publishing uses it.
-type platform interface {
+// logClient is the part of the platform's log client that Publisher uses.
+type logClient interface {
 	Append(ctx context.Context, stream string, data []byte) (uint64, error)
 	Read(ctx context.Context, stream string, from uint64, limit int, wait time.Duration) (wharfstream.Batch, error)
 }
 
 const (
+	// readLimit is the maximum number of records per read.
 	readLimit = 500
-	// retryPause is the pause before an append is repeated.
-	retryPause = 500 * time.Millisecond
+	// retryInterval is the pause before an append is repeated.
+	retryInterval = 500 * time.Millisecond
 )
 
-// Publisher writes changes and reads the state.
+// Publisher appends changes to the log and reads the state from it.
 type Publisher struct {
-	Platform platform
+	Platform logClient
 }
 
 // State reads the log to its end and returns the state.
 func (p Publisher) State(ctx context.Context) (*wharfstate.State, error) {
-	return p.follow(ctx, nil)
+	return p.catchUp(ctx, nil)
 }
 
-// follow folds what the log holds beyond a state. Where records have expired
-// it goes on at the oldest, where a snapshot has to bridge the gap.
-func (p Publisher) follow(ctx context.Context, s *wharfstate.State) (*wharfstate.State, error) {
+// catchUp applies the records after the state's offset and returns the new
+// state. If the next record has expired, it continues at the oldest record kept;
+// a snapshot in the later records must then cover the gap.
+func (p Publisher) catchUp(ctx context.Context, s *wharfstate.State) (*wharfstate.State, error) {
 	from := s.Offset() + 1
+	// WithRecords skips a gap only if a snapshot is among the records that it
+	// gets, so each call passes all records read so far.
 	var pending []wharfstream.Record
 	for {
 		batch, err := p.Platform.Read(ctx, wharfstate.Stream, from, readLimit, 0)
@@ -59,24 +63,28 @@
 			continue
 		}
 		if s.Offset()+1 < batch.Next {
-			return s, oops.Code("no-snapshot").Errorf("records up to offset %d have expired and no snapshot is left", batch.Oldest)
+			return s, oops.Code("no-snapshot").Errorf("records before offset %d have expired and the log contains no snapshot that replaces them", batch.Oldest)
 		}
 		return s, nil
 	}
 }
 
-// Result is what became of a change.
+// Result is the result of publishing a change.
 type Result struct {
-	// Known is false if it could not be learnt whether the change was accepted.
-	Known    bool
+	// Known is false if the change may have been published, but no decision on
+	// it was found. Err is set then.
+	Known bool
+	// Decision is the decision on the change. It is set if Known is true and
+	// Err is nil.
 	Decision wharfconfig.Decision
-	// Err says what stood in the way.
+	// Err is the reason why there is no decision, or nil.
 	Err error
 }
 
-// Change builds a change that turns the objects in force into the documents.
-// Objects that are already as wanted are left out. A base other than zero is
-// the offset that the author saw; objects that moved since then conflict.
+// Change returns a change that creates or replaces the objects described by the
+// documents. Objects that already equal their document are omitted. A base other
+// than zero is the offset of the configuration that the author saw; objects that
+// changed after that offset conflict.
 func Change(s *wharfstate.State, author, note string, base uint64, documents []wharfconfig.Document) wharfconfig.Change {
 	change := wharfconfig.Change{ID: uuid.NewString(), Author: author, Note: note, Made: time.Now()}
 	for _, d := range documents {
@@ -91,7 +99,8 @@
 	return change
 }
 
-// Deletion builds a change that removes objects.
+// Deletion returns a change that removes objects. Its base has the same meaning
+// as that of Change.
 func Deletion(s *wharfstate.State, author, note string, base uint64, keys []wharfconfig.ObjectKey) wharfconfig.Change {
 	change := wharfconfig.Change{ID: uuid.NewString(), Author: author, Note: note, Made: time.Now()}
 	for _, key := range keys {
@@ -101,56 +110,58 @@
 	return change
 }
 
-// baseOf returns the version that an edit was made against. An object that is
-// newer than what the author saw keeps the older base, so that the fold finds
-// the conflict.
-func baseOf(current, seen uint64) uint64 {
-	if seen > 0 && current > seen {
-		return seen
+// baseOf returns the version that an edit is based on. If the object is newer
+// than the offset that the author saw, the result is that offset, so that the
+// conflict is detected when the change is applied.
+func baseOf(current, seenOffset uint64) uint64 {
+	if seenOffset > 0 && current > seenOffset {
+		return seenOffset
 	}
 	return current
 }
 
-// Publish appends a change and waits for the verdict. An append without an
-// answer is repeated under the same id, which folds once.
+// Publish appends a change and waits for the decision until ctx ends. It repeats
+// the append under the same change ID until the decision is found; a change ID
+// that is already decided is not applied again.
 func (p Publisher) Publish(ctx context.Context, s *wharfstate.State, change wharfconfig.Change) Result {
 	data, err := wharfstate.Envelope{Change: &change}.Encode()
 	if err != nil {
 		return Result{Known: true, Err: err}
 	}
-	var last error
-	mayHaveLanded := false
+	var lastErr error
+	mayBeAppended := false
 	for ctx.Err() == nil {
 		_, err := p.Platform.Append(ctx, wharfstate.Stream, data)
 		if err != nil {
-			last = err
+			lastErr = err
 		}
 		refused := errors.Is(err, wharfstream.ErrRateLimited) || errors.Is(err, wharfstream.ErrUnavailable)
-		mayHaveLanded = mayHaveLanded || !refused
-		next, verdict, found := p.await(ctx, s, change.ID)
+		mayBeAppended = mayBeAppended || !refused
+		next, decision, found := p.findDecision(ctx, s, change.ID)
 		if found {
-			return Result{Known: true, Decision: verdict}
+			return Result{Known: true, Decision: decision}
 		}
 		s = next
-		wharftimer.Sleep(ctx, retryPause)
+		wharftimer.Sleep(ctx, retryInterval)
 	}
-	if !mayHaveLanded {
-		return Result{Known: true, Err: oops.Code("not-published").Wrapf(last, "nothing was published")}
+	if !mayBeAppended {
+		return Result{Known: true, Err: oops.Code("not-published").Wrapf(lastErr, "nothing was published")}
 	}
-	return Result{Err: oops.Code("unknown").Wrapf(errors.Join(last, ctx.Err()), "the change may or may not have been published")}
+	return Result{Err: oops.Code("unknown").Wrapf(errors.Join(lastErr, ctx.Err()), "the change may or may not have been published")}
 }
 
-// await looks for the verdict on a change in what the log holds now.
-func (p Publisher) await(ctx context.Context, s *wharfstate.State, id string) (*wharfstate.State, wharfconfig.Decision, bool) {
-	next, err := p.follow(ctx, s)
+// findDecision reads the log to its end and looks for the decision on a change.
+func (p Publisher) findDecision(ctx context.Context, s *wharfstate.State, id string) (*wharfstate.State, wharfconfig.Decision, bool) {
+	next, err := p.catchUp(ctx, s)
 	if err != nil {
 		return s, wharfconfig.Decision{}, false
 	}
-	verdict, found := next.Config().Decision(id)
-	return next, verdict, found
+	decision, found := next.Config().Decision(id)
+	return next, decision, found
 }
 
-// Evict ends the ownership of a node that is gone for good.
+// Evict ends the key ownership of a node that is permanently down. It returns an
+// error with code not-owner if the node owns no keys.
 func (p Publisher) Evict(ctx context.Context, s *wharfstate.State, author, node string) error {
 	owner, ok := ownerOf(s, node)
 	if !ok {
@@ -165,6 +176,7 @@
 	return err
 }
 
+// ownerOf returns the first ownership entry of a node.
 func ownerOf(s *wharfstate.State, node string) (wharfidempotency.Owner, bool) {
 	for _, h := range s.Ownership().Save().Services {
 		for _, o := range s.Ownership().Owners(h.Service) {
@@ -176,7 +188,7 @@
 	return wharfidempotency.Owner{}, false
 }
 
-// Records reads a whole stream, as far as it is kept.
+// Records returns all records of a stream that have not expired.
 func (p Publisher) Records(ctx context.Context, stream string) ([]wharfstream.Record, error) {
 	var out []wharfstream.Record
 	from := uint64(1)
@@ -197,8 +209,8 @@
 	}
 }
 
-// ProposedChange returns the change that documents would make, placed right after
-// a configuration, to try them without publishing.
+// ProposedChange returns the change that the documents would make, at the offset
+// after the configuration's. The caller can apply it without publishing it.
 func ProposedChange(config *wharfconfig.Snapshot, docs []wharfconfig.SourceDocument) wharfconfig.LoggedChange {
 	change := wharfconfig.Change{ID: uuid.NewString()}
 	for _, d := range docs {
--- a/wharfctl/label.go
+++ b/wharfctl/label.go
@@ -10,14 +10,14 @@
 	"ragwortwharf.dev/wharfctl/internal/wharfpublish"
 )
 
-// labelCommand changes the labels that operators give a target.
+// labelCommand changes the labels that operators assign to a target.
 type labelCommand struct {
 	changeAccess
 	Target string   `arg:"" help:"IP:port of the target."`
 	Labels []string `arg:"" help:"KEY=VALUE to set a label, KEY- to remove it."`
 }
 
-// Run publishes the labels and says whether they were accepted.
+// Run publishes the labels and prints whether they were accepted.
 func (c *labelCommand) Run(ctx context.Context, t *terminal) error {
 	return c.do(ctx, func(ctx context.Context, s session) error {
 		document := wharfconfig.Document{Kind: wharfconfig.KindTargetLabel, Name: c.Target, Target: c.Target}
@@ -28,9 +28,9 @@
 		if document.Labels, err = applyLabels(document.Labels, c.Labels); err != nil {
 			return err
 		}
-		faults := wharfconfig.Validate([]wharfconfig.SourceDocument{{Document: document, File: "label"}}, s.state.Config())
-		if len(faults) > 0 {
-			return invalid(faults)
+		issues := wharfconfig.Validate([]wharfconfig.SourceDocument{{Document: document, File: "label"}}, s.state.Config())
+		if len(issues) > 0 {
+			return invalid(issues)
 		}
 		change := wharfpublish.Change(s.state, c.Author, c.Note, c.Base, []wharfconfig.Document{document})
 		if len(change.Edits) == 0 {
@@ -41,13 +41,14 @@
 	})
 }
 
-// applyLabels returns the labels with settings of the form KEY=VALUE or KEY-.
+// applyLabels returns a copy of the labels with the settings applied: KEY=VALUE
+// sets a label, KEY- removes it.
 func applyLabels(labels map[string]string, settings []string) (map[string]string, error) {
 	out := maps.Clone(labels)
 	if out == nil {
 		out = map[string]string{}
 	}
-	var faults wharfcli.Issues
+	var issues wharfcli.Issues
 	for _, s := range settings {
 		if key, ok := strings.CutSuffix(s, "-"); ok && !strings.Contains(s, "=") {
 			delete(out, key)
@@ -55,13 +56,13 @@
 		}
 		key, value, ok := strings.Cut(s, "=")
 		if !ok {
-			faults = append(faults, s+": is neither KEY=VALUE nor KEY-")
+			issues = append(issues, s+": is neither KEY=VALUE nor KEY-")
 			continue
 		}
 		out[key] = value
 	}
-	if len(faults) > 0 {
-		return nil, wharfcli.ExitError{Code: wharfcli.ExitUsage, Err: faults}
+	if len(issues) > 0 {
+		return nil, wharfcli.ExitError{Code: wharfcli.ExitUsage, Err: issues}
 	}
 	return out, nil
 }
--- a/wharfctl/main.go
+++ b/wharfctl/main.go
@@ -8,24 +8,24 @@
 	"ragwortwharf.dev/wharf/wharfcli"
 )
 
-// Exit codes besides those that all programs share.
+// Exit codes in addition to those that all programs share.
 const (
-	exitRejected = 3
-	exitUnknown  = 4
+	exitRejected = 3 // the change was rejected
+	exitUnknown  = 4 // the change may or may not have been published
 )
 
-// commands are the commands of wharfctl.
+// commands is the command line of wharfctl.
 type commands struct {
-	Validate validateCommand  `cmd:"" help:"Check configuration files and report every fault."`
+	Validate validateCommand  `cmd:"" help:"Check configuration files and report every issue."`
 	Publish  publishCommand   `cmd:"" help:"Publish configuration files."`
-	Delete   deleteCommand    `cmd:"" help:"Publish the removal of objects."`
+	Delete   deleteCommand    `cmd:"" help:"Publish the removal of configuration objects."`
 	Label    labelCommand     `cmd:"" help:"Change the labels of a target."`
-	Evict    evictCommand     `cmd:"" help:"End the ownership of keys of a node that is gone."`
+	Evict    evictCommand     `cmd:"" help:"End the key ownership of a node that is permanently down."`
 	Status   statusCommand    `cmd:"" help:"Show the state of a node."`
 	Explain  explainCommand   `cmd:"" help:"Show how a request would be treated and why."`
-	History  historyCommand   `cmd:"" help:"Show the changes of objects."`
-	Audit    auditCommand     `cmd:"" help:"Show who changed what, and what nodes did by themselves."`
-	Trace    traceCommand     `cmd:"" help:"Show what the logs of nodes say of one request."`
+	History  historyCommand   `cmd:"" help:"Show the changes of configuration objects."`
+	Audit    auditCommand     `cmd:"" help:"Show the changes by operators and the automatic actions of nodes."`
+	Trace    traceCommand     `cmd:"" help:"Show the lines about one request in the logs of nodes."`
 	Version  kong.VersionFlag `help:"Print the version and exit."`
 }
 
@@ -33,7 +33,7 @@
 	os.Exit(run())
 }
 
-// run returns the exit code.
+// run executes the command line and returns the exit code.
 func run() int {
 	return wharfcli.Run("wharfctl", "Operates ragwortwharf.", &commands{}, &terminal{out: os.Stdout})
 }
--- a/wharfctl/node.go
+++ b/wharfctl/node.go
@@ -11,18 +11,19 @@
 	"ragwortwharf.dev/wharf/wharfcli"
 )
 
-// nodeAccess is what commands need to ask a node.
+// nodeAccess holds the flags of commands that query the admin API of a node.
 type nodeAccess struct {
 	Node    string        `default:"http://127.0.0.1:7002" env:"WHARF_NODE_ADMIN" help:"Admin URL of a node."`
-	Timeout time.Duration `default:"5s" env:"WHARF_TIMEOUT" help:"Longest wait for the node."`
+	Timeout time.Duration `default:"5s" env:"WHARF_TIMEOUT" help:"Time to wait for the node."`
 }
 
-// get asks the node and decodes its answer.
+// get sends a GET request to the node and decodes the JSON response into the
+// value that into points to.
 func (a nodeAccess) get(ctx context.Context, path string, params map[string]string, into any) error {
-	var faults wharfcli.Issues
-	faults.URL("node", a.Node)
-	if len(faults) > 0 {
-		return wharfcli.ExitError{Code: wharfcli.ExitUsage, Err: faults}
+	var issues wharfcli.Issues
+	issues.URL("node", a.Node)
+	if len(issues) > 0 {
+		return wharfcli.ExitError{Code: wharfcli.ExitUsage, Err: issues}
 	}
 	response, err := resty.New().SetTimeout(a.Timeout).R().
 		SetContext(ctx).SetQueryParams(params).SetResult(into).Get(a.Node + path)
--- a/wharfctl/publish.go
+++ b/wharfctl/publish.go
@@ -7,20 +7,20 @@
 	"ragwortwharf.dev/wharfctl/internal/wharfpublish"
 )
 
-// publishCommand publishes files.
+// publishCommand publishes configuration files.
 type publishCommand struct {
 	changeAccess
 	Files []string `arg:"" help:"Configuration files."`
 }
 
-// Run checks the files against what is in force, publishes what differs and
-// says whether it was accepted.
+// Run checks the files against the current configuration, publishes the objects
+// that differ and prints whether the change was accepted.
 func (c *publishCommand) Run(ctx context.Context, t *terminal) error {
 	return c.do(ctx, func(ctx context.Context, s session) error {
-		docs, faults := readFiles(c.Files)
-		faults = append(faults, wharfconfig.Validate(docs, s.state.Config())...)
-		if len(faults) > 0 {
-			return invalid(faults)
+		docs, issues := readFiles(c.Files)
+		issues = append(issues, wharfconfig.Validate(docs, s.state.Config())...)
+		if len(issues) > 0 {
+			return invalid(issues)
 		}
 		documents := make([]wharfconfig.Document, len(docs))
 		for i, d := range docs {
--- a/wharfctl/script_test.go
+++ b/wharfctl/script_test.go
@@ -20,14 +20,19 @@
 	testscript.Main(m, map[string]func(){"wharfctl": func() { os.Exit(run()) }})
 }
 
-// scriptLog is the platform's log of one script. Its clock stands still.
+// scriptLog is the platform's log of one script, with fault injection. Its clock
+// always returns the same time.
 type scriptLog struct {
 	wharflog.Memory
+	// down makes every append and read fail.
 	down atomic.Bool
+	// lose is the number of appends that take effect but report an uncertain
+	// outcome.
 	lose atomic.Int32
-	// swallow makes appends vanish without an answer.
+	// swallow makes appends have no effect and report an uncertain outcome.
 	swallow atomic.Bool
-	// slow makes appends take effect only after their client has given up.
+	// slow makes appends take effect only after the client has cancelled the
+	// request.
 	slow atomic.Bool
 }
 
@@ -58,7 +63,7 @@
 
 type logKey struct{}
 
-// faultCommand is the script command "fault down|up|lose N|swallow|slow".
+// faultCommand implements the script command "fault down|up|lose N|swallow|slow".
 func faultCommand(ts *testscript.TestScript, _ bool, args []string) {
 	l := ts.Value(logKey{}).(*scriptLog)
 	switch args[0] {
@@ -81,13 +86,15 @@
 	}
 }
 
-// appendCommand is the script command "append STREAM FILE".
+// appendCommand implements the script command "append STREAM FILE".
 func appendCommand(ts *testscript.TestScript, _ bool, args []string) {
 	l := ts.Value(logKey{}).(*scriptLog)
 	_, err := l.Memory.Append(context.Background(), args[0], []byte(ts.ReadFile(args[1])))
 	ts.Check(err)
 }
 
+// TestScripts runs each script with its own in-memory log and a stub of a node's
+// admin API.
 func TestScripts(t *testing.T) {
 	testscript.Run(t, testscript.Params{
 		Dir: "testdata/script",
@@ -109,14 +116,14 @@
 	})
 }
 
-// nodeStub answers as the admin API of a node, from files of the script.
+// nodeStub serves the admin API of a node from files of the script.
 func nodeStub(dir string) http.Handler {
 	mux := http.NewServeMux()
 	serve := func(path, file string) {
 		mux.HandleFunc("GET "+path, func(w http.ResponseWriter, _ *http.Request) {
 			data, err := os.ReadFile(dir + "/" + file)
 			if err != nil {
-				http.Error(w, "no answer prepared", http.StatusNotFound)
+				http.Error(w, "the script has no file for this path", http.StatusNotFound)
 				return
 			}
 			w.Header().Set("Content-Type", "application/json")
--- a/wharfctl/status.go
+++ b/wharfctl/status.go
@@ -7,18 +7,20 @@
 	"text/tabwriter"
 )
 
-// statusCommand shows the state of a node.
+// statusCommand prints the status of a node.
 type statusCommand struct {
 	nodeAccess
 }
 
-// nodeStatus is the part of a node's status that is shown.
+// nodeStatus is the part of a node's status that the command prints.
 type nodeStatus struct {
 	Self struct {
 		Node          string `json:"node"`
 		FailureDomain string `json:"failure-domain"`
 	} `json:"self"`
-	Offset   uint64         `json:"offset"`
+	Offset uint64 `json:"offset"`
+	// StateAge is the age of the last confirmation of the node's state, in
+	// seconds. A negative value means that the state is not confirmed.
 	StateAge float64        `json:"state-age-seconds"`
 	Members  int            `json:"members"`
 	Calls    int            `json:"calls"`
@@ -28,6 +30,7 @@
 	Targets  []targetStatus `json:"targets"`
 }
 
+// targetStatus is the status of one target of the node.
 type targetStatus struct {
 	Service string `json:"service"`
 	Address string `json:"address"`
@@ -52,8 +55,8 @@
 	}
 	t.printf("node %s in %s\n", s.Self.Node, s.Self.FailureDomain)
 	t.printf("configuration at offset %d, %s; %d members\n", s.Offset, age, s.Members)
-	t.printf("%d calls in flight, %d keys, home for %s\n", s.Calls, s.Keys, orNone(s.Owned))
-	t.printf("targets left out: %s\n", orNone(s.Ejected))
+	t.printf("%d calls in flight, %d keys, key owner for %s\n", s.Calls, s.Keys, orNone(s.Owned))
+	t.printf("targets ejected: %s\n", orNone(s.Ejected))
 	w := tabwriter.NewWriter(t.out, 0, 0, 2, ' ', 0)
 	_, _ = fmt.Fprintln(w, "SERVICE\tTARGET\tSTATE\tSLOTS\tLIMIT\tRUNNING\tQUEUED\tLEVEL\tCRASHES")
 	for _, x := range s.Targets {
--- a/wharfctl/terminal.go
+++ b/wharfctl/terminal.go
@@ -15,7 +15,7 @@
 	"ragwortwharf.dev/wharfctl/internal/wharfpublish"
 )
 
-// terminal is where commands print to.
+// terminal prints the output of commands.
 type terminal struct {
 	out io.Writer
 }
@@ -24,25 +24,26 @@
 	_, _ = fmt.Fprintf(t.out, format, args...)
 }
 
-// logAccess is what commands need to reach the platform's log.
+// logAccess holds the flags of commands that use the platform's log.
 type logAccess struct {
 	LogURL  string        `required:"" env:"WHARF_LOG_URL" help:"URL of the platform's append-only log."`
-	Timeout time.Duration `default:"10s" env:"WHARF_TIMEOUT" help:"Longest wait for the log."`
+	Timeout time.Duration `default:"10s" env:"WHARF_TIMEOUT" help:"Total time to wait for the log."`
 }
 
-// session is the log as a command finds it.
+// session holds access to the log and the state at the start of a command.
 type session struct {
 	publisher wharfpublish.Publisher
 	state     *wharfstate.State
 }
 
-// do reads the state from the log and hands it to a command.
+// do reads the state from the log and calls command with it. The timeout covers
+// both.
 func (a logAccess) do(ctx context.Context, command func(ctx context.Context, s session) error) error {
-	var faults wharfcli.Issues
-	faults.URL("log-url", a.LogURL)
-	faults.AtLeast("timeout", a.Timeout, time.Second)
-	if len(faults) > 0 {
-		return wharfcli.ExitError{Code: wharfcli.ExitUsage, Err: faults}
+	var issues wharfcli.Issues
+	issues.URL("log-url", a.LogURL)
+	issues.AtLeast("timeout", a.Timeout, time.Second)
+	if len(issues) > 0 {
+		return wharfcli.ExitError{Code: wharfcli.ExitUsage, Err: issues}
 	}
 	ctx, cancel := context.WithTimeout(ctx, a.Timeout)
 	defer cancel()
@@ -54,13 +55,13 @@
 	return command(ctx, s)
 }
 
-// changeAccess is what commands need that change something.
+// changeAccess holds the flags of commands that publish changes.
 type changeAccess struct {
 	logAccess
 	authorship
 }
 
-// do reads the state from the log and hands it to a command of an author.
+// do checks that an author is given and then does the same as logAccess.do.
 func (a changeAccess) do(ctx context.Context, command func(ctx context.Context, s session) error) error {
 	if a.Author == "" {
 		return wharfcli.ExitError{Code: wharfcli.ExitUsage, Err: wharfcli.Issues{"--author: is empty"}}
@@ -68,35 +69,38 @@
 	return a.logAccess.do(ctx, command)
 }
 
-// authorship says who makes a change, and against what.
+// authorship holds the author of a change, the reason and the base offset.
 type authorship struct {
-	Author string `required:"" env:"WHARF_AUTHOR" help:"Who makes the change, for the audit trail."`
-	Note   string `env:"WHARF_NOTE" help:"Why the change is made."`
-	Base   uint64 `env:"WHARF_BASE" help:"Offset of the configuration that the change was made against; the present one if left out."`
+	Author string `required:"" env:"WHARF_AUTHOR" help:"Author of the change, for the audit trail."`
+	Note   string `env:"WHARF_NOTE" help:"Reason for the change."`
+	Base   uint64 `env:"WHARF_BASE" help:"Offset of the configuration that the change is based on; the current offset if omitted."`
 }
 
-// readFiles parses files and returns every fault of their form.
+// readFiles parses files. It returns the documents of all files and every issue
+// found in reading and parsing them.
 func readFiles(paths []string) ([]wharfconfig.SourceDocument, wharfconfig.Issues) {
 	var docs []wharfconfig.SourceDocument
-	var faults wharfconfig.Issues
+	var issues wharfconfig.Issues
 	for _, path := range paths {
 		data, err := os.ReadFile(path)
 		if err != nil {
-			faults = append(faults, wharfconfig.Issue{Code: wharfconfig.CodeSyntax, File: path, Line: 1, Message: err.Error()})
+			issues = append(issues, wharfconfig.Issue{Code: wharfconfig.CodeSyntax, File: path, Line: 1, Message: err.Error()})
 			continue
 		}
-		found, f := wharfconfig.Parse(path, data)
-		docs = append(docs, found...)
-		faults = append(faults, f...)
+		parsed, parseIssues := wharfconfig.Parse(path, data)
+		docs = append(docs, parsed...)
+		issues = append(issues, parseIssues...)
 	}
-	return docs, faults
+	return docs, issues
 }
 
-func invalid(faults wharfconfig.Issues) error {
-	return wharfcli.ExitError{Code: wharfcli.ExitUsage, Err: faults}
+// invalid returns the error for files or labels that are not valid.
+func invalid(issues wharfconfig.Issues) error {
+	return wharfcli.ExitError{Code: wharfcli.ExitUsage, Err: issues}
 }
 
-// report prints what became of a change and returns the exit code.
+// report prints the result of publishing a change. The returned error carries
+// the exit code; it is nil if the change was accepted.
 func (t *terminal) report(r wharfpublish.Result) error {
 	switch {
 	case !r.Known:
@@ -110,19 +114,19 @@
 	}
 	t.printf("rejected at offset %d\n", r.Decision.Offset)
 	for _, c := range r.Decision.Conflicts {
-		t.printf("  %s\n", describe(c))
+		t.printf("  %s\n", describeConflict(c))
 	}
 	return wharfcli.ExitError{Code: exitRejected}
 }
 
-func describe(c wharfconfig.Conflict) string {
+func describeConflict(c wharfconfig.Conflict) string {
 	if c.Message != "" {
 		return fmt.Sprintf("%s: %s", c.Key, c.Message)
 	}
 	if c.Change == "" {
-		return fmt.Sprintf("%s: made against offset %d, but the object does not exist", c.Key, c.Base)
+		return fmt.Sprintf("%s: based on offset %d, but the object does not exist", c.Key, c.Base)
 	}
-	return fmt.Sprintf("%s: made against offset %d, but change %s moved it to offset %d", c.Key, c.Base, c.Change, c.Current)
+	return fmt.Sprintf("%s: based on offset %d, but change %s updated the object at offset %d", c.Key, c.Base, c.Change, c.Current)
 }
 
 func joinKeys(keys []wharfconfig.ObjectKey) string {
--- a/wharfctl/trace.go
+++ b/wharfctl/trace.go
@@ -14,33 +14,34 @@
 	"github.com/samber/oops"
 )
 
-// maxLogLine bounds a line of a log, in bytes.
+// maxLogLine is the maximum length of a log line in bytes.
 const maxLogLine = 1 << 20
 
-// traceCommand prints what the logs of nodes say of one request.
+// traceCommand prints the lines about one request in the logs of nodes.
 type traceCommand struct {
-	ID    string   `arg:"" help:"Id of the request."`
-	Files []string `arg:"" optional:"" help:"Logs in JSON, in any order; standard input if none is named."`
+	ID    string   `arg:"" help:"ID of the request."`
+	Files []string `arg:"" optional:"" help:"Log files in JSON, in any order; standard input if omitted."`
 }
 
-// logLine is a line of a log in JSON.
+// logLine is one line of a log in JSON.
 type logLine struct {
 	Time    time.Time      `json:"timestamp"`
 	Level   string         `json:"level"`
 	Message string         `json:"message"`
 	Fields  map[string]any `json:"fields"`
-	// source names the log, or what stands before the line in it.
+	// source is the name of the log file, or the last word before the JSON
+	// text on the line if there is one.
 	source string
 }
 
-// Run prints the lines of all logs in the order of time.
+// Run prints the matching lines of all logs in order of time.
 func (c *traceCommand) Run(t *terminal) error {
 	lines, err := c.read()
 	if err != nil {
 		return err
 	}
 	if len(lines) == 0 {
-		return oops.Code("request-unknown").Errorf("no line names the request %s; lines on it may have been dropped", c.ID)
+		return oops.Code("request-unknown").Errorf("no line names the request %s; lines about it may have been dropped", c.ID)
 	}
 	slices.SortStableFunc(lines, func(a, b logLine) int { return a.Time.Compare(b.Time) })
 	for _, l := range lines {
@@ -49,6 +50,7 @@
 	return nil
 }
 
+// read returns the matching lines of all logs, in the order of the files.
 func (c *traceCommand) read() ([]logLine, error) {
 	if len(c.Files) == 0 {
 		return c.scan("-", os.Stdin)
@@ -69,7 +71,7 @@
 	return all, nil
 }
 
-// scan returns the lines on the request. Lines that aren't JSON are passed over,
+// scan returns the lines about the request. Lines that aren't JSON are skipped,
 // because other programs may write to the same log.
 func (c *traceCommand) scan(source string, r io.Reader) ([]logLine, error) {
 	var lines []logLine
@@ -85,7 +87,7 @@
 		if json.Unmarshal(text[start:], &l) != nil || l.Fields["request"] != c.ID {
 			continue
 		}
-		// Collectors put the name of the node before the line.
+		// Log collectors write the name of the node before the line.
 		if prefix := strings.Fields(string(text[:start])); len(prefix) > 0 {
 			l.source = prefix[len(prefix)-1]
 		}
@@ -97,7 +99,7 @@
 	return lines, nil
 }
 
-// details lists the other fields by their names.
+// details formats the remaining fields, sorted by name.
 func (l logLine) details() string {
 	names := make([]string, 0, len(l.Fields))
 	for name := range l.Fields {
