--- a/Makefile
+++ b/Makefile
@@ -28,8 +28,8 @@
 bench: build
 	./scripts/bench.sh
 
-# generate needs protoc, protoc-gen-go and protoc-gen-go-grpc; what it makes is
-# committed.
+# generate needs protoc, protoc-gen-go and protoc-gen-go-grpc. The generated files
+# are committed.
 generate:
 	cd wharf/wharfwire && protoc --go_out=. --go_opt=paths=source_relative \
 		--go-grpc_out=. --go-grpc_opt=paths=source_relative wharf.proto
--- a/scripts/bench.sh
+++ b/scripts/bench.sh
@@ -1,11 +1,13 @@
 #!/usr/bin/env bash
-# Measures on loopback, side by side in one run: the latency that two nodes add
-# to a call, and what callers see when a deep service slows down by ten while
-# demand surges and clients retry hard, for each variant of the decisions.
+# Measures on the loopback interface, in one run for comparison:
+#   - the latency that two nodes add to a call;
+#   - for each variant of the node flags, the results that callers see while the
+#     last service of a call chain is ten times slower, the request rate doubles
+#     and clients resend failed requests up to three times.
 #
 # Usage: bench.sh [latency | VARIANT...]; without arguments everything runs.
-# TARGET_FLAGS are passed to all targets. By default these work on when their
-# caller has given up, as most services do.
+# TARGET_FLAGS are passed to all targets. By default targets keep working on a
+# request after its caller has cancelled it, as most services do.
 set -euo pipefail
 TARGET_FLAGS=${TARGET_FLAGS---ignore-cancellation}
 base_port=${BASE_PORT:-22000}
@@ -14,7 +16,7 @@
 out="${BENCH_OUT:-$(mktemp -d)}"
 mkdir -p "$out"
 
-# variant NAME: the node flags of a variant.
+# variant_flags NAME: prints the node flags of a variant.
 variant_flags() {
   case $1 in
     no-control) echo "--limiter off --no-levels --retries off --queue-order arrival" ;;
@@ -43,7 +45,8 @@
   start_vm domain-a front --slots 200 --service-time 1ms
   start_vm domain-a other --slots 200 --service-time 1ms
   sleep 4
-  # Two plain HTTP hops are the floor that two nodes can be held against here.
+  # Two plain HTTP relays give the lowest latency that two nodes could add on this
+  # machine.
   start_relay "${target_urls[0]}"
   start_relay "${target_urls[-1]}"
   local args=(--service front --rate 500 --duration 12s --timeout 1s)
--- a/scripts/capacity.sh
+++ b/scripts/capacity.sh
@@ -1,8 +1,10 @@
 #!/usr/bin/env bash
-# Measures what docs/CAPACITY.md is worked out from: the cost of decisions over
-# their size, and what idle nodes spend on control.
+# Measures the input of docs/CAPACITY.md: the Go benchmarks of admission, routing
+# and other decisions at several sizes, and the CPU time, network traffic and
+# memory that idle nodes use for control.
 #
-# Usage: capacity.sh [NODES...]; the numbers of idle nodes, 12 24 36 by default.
+# Usage: capacity.sh [NODES...]; NODES are the numbers of idle nodes to measure
+# with, by default 12 24 36. Set SKIP_BENCHMARKS to skip the Go benchmarks.
 set -euo pipefail
 base_port=${BASE_PORT:-26000}
 # shellcheck source=scripts/cluster.sh
@@ -48,7 +50,8 @@
   wait $!
 }
 
-# measure NAME: what the nodes spend in a time span, on average.
+# measure NAME: prints the average CPU, control traffic and memory of a node over
+# 20 s.
 measure() {
   local cpu=0 sent=0 rss=0 cpu0=0 sent0=0 span=20 i
   for i in "${!nodes[@]}"; do
--- a/scripts/cluster.sh
+++ b/scripts/cluster.sh
@@ -1,6 +1,6 @@
-# Functions that start and stop the processes of a small system on loopback.
-# Sourced by demo.sh and bench.sh. Every process that was started is ended by
-# its id when the script exits.
+# Functions that start and stop the processes of a small system on the loopback
+# interface. Sourced by demo.sh, bench.sh and capacity.sh. When the script exits,
+# every process that it started is stopped by its process ID.
 
 bin="$(cd "$(dirname "${BASH_SOURCE[0]}")/.." && pwd)/bin"
 run_dir="$(mktemp -d)"
@@ -11,8 +11,8 @@
 entry_urls=()
 target_urls=()
 
-# stop_all stops nodes and targets first, because they write to the log when
-# they leave, and the log last.
+# stop_all: stops the nodes and targets, then the log. The log is last because
+# nodes and targets write to it while they stop.
 stop_all() {
   [ ${#pids[@]} -gt 0 ] || return 0
   local log_pid=${pids[0]} rest=("${pids[@]:1}") pid
@@ -29,7 +29,8 @@
 }
 trap finish EXIT
 
-# wait_for URL: waits until a URL answers.
+# wait_for HOST:PORT: waits until a process accepts connections on the address;
+# fails after 100 attempts, 0.05 s apart.
 wait_for() {
   for _ in $(seq 1 100); do
     if (exec 3<>"/dev/tcp/${1%:*}/${1#*:}") 2>/dev/null; then return 0; fi
@@ -39,6 +40,7 @@
   return 1
 }
 
+# start_log [log flags]: starts the log and sets log_url.
 start_log() {
   log_url="http://127.0.0.1:$((base_port))"
   "$bin/wharfstandin" log --listen "127.0.0.1:$base_port" "$@" >"$run_dir/log.out" 2>&1 &
@@ -46,7 +48,8 @@
   wait_for "127.0.0.1:$base_port"
 }
 
-# start_vm DOMAIN SERVICE [target flags]: starts a node and its target.
+# start_vm DOMAIN SERVICE [target flags]: starts a node and its target, and adds
+# their URLs to entry_urls and target_urls. The first three nodes become seeds.
 start_vm() {
   local domain=$1 service=$2
   shift 2
@@ -69,8 +72,8 @@
   if [ "$node_count" -le 3 ]; then seeds="${seeds:+$seeds,}127.0.0.1:$((port + 1))"; fi
 }
 
-# start_relay URL: starts a target without a node that calls on to another one,
-# and prints nothing; its URL is the last of target_urls.
+# start_relay URL: starts a target that has no node and forwards each request to
+# URL. Its own URL is appended to target_urls.
 start_relay() {
   node_count=$((node_count + 1))
   local port=$((base_port + 10 * node_count + 3))
--- a/scripts/demo.sh
+++ b/scripts/demo.sh
@@ -1,7 +1,8 @@
 #!/usr/bin/env bash
-# Runs a small system on loopback: one log, three failure domains, a service
-# that calls another. Publishes a configuration, sends a mix of requests,
-# prints the outcomes, and stops everything that it started.
+# Runs a small system on the loopback interface: one log and three failure domains,
+# each with two services of which one calls the other. Publishes a configuration,
+# sends a mix of requests, prints the outcomes and stops all processes that it
+# started.
 set -euo pipefail
 base_port=${BASE_PORT:-21000}
 # shellcheck source=scripts/cluster.sh
@@ -21,4 +22,4 @@
   --classes "passenger-reads:6:GET:/boards/7,bookings:2:POST:/bookings:200,footage:2:PUT:/uploads/7:100000" \
   --rate 200 --duration 8s --targets "$(join_by_comma "${target_urls[@]}")"
 stop_all
-echo "everything stopped"
+echo "all processes stopped"
--- a/scripts/test.sh
+++ b/scripts/test.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
 # Runs the tests of all modules. Flags are passed to go test. Tests listed in
-# KNOWN-RED.txt are run apart; their failures are printed and don't count.
+# KNOWN-RED.txt run separately; their failures are printed and don't affect the
+# exit status.
 set -uo pipefail
 cd "$(dirname "$0")/.."
 modules=(wharf wharfnode wharfctl wharfstandin platform)
