--- a/wharfnode/internal/wharfliveness/doc.go
+++ b/wharfnode/internal/wharfliveness/doc.go
@@ -1,8 +1,9 @@
-// Package wharfliveness finds out that the other side of calls has fallen silent.
+// Package wharfliveness detects that the server behind an address is unresponsive.
 //
-// A process that is cut off, or whose VM lost its power, breaks no connection:
-// calls to it would wait until their deadlines. A Monitor sees that answers stay
-// away and tries a new connection. If none comes about, it ends the calls under
-// way, so that their callers learn of it at once, and lets none through until the
-// other side takes connections again.
+// A process that is cut off from the network, or whose VM lost power, closes no
+// connection, so calls to it would wait until their deadlines. A Monitor notices
+// that calls get no responses and probes the server with new connections. If the
+// probes fail, the Monitor cancels the calls in flight, so that their senders
+// learn of the failure at once. Senders ask Unresponsive and send no call until
+// the server accepts connections again.
 package wharfliveness
--- a/wharfnode/internal/wharfliveness/monitor.go
+++ b/wharfnode/internal/wharfliveness/monitor.go
@@ -12,102 +12,109 @@
 )
 
 const (
-	// dialTimeout bounds one try of a connection. It covers the round trip
-	// between regions.
+	// dialTimeout bounds one probe, which is the set-up of one connection. It
+	// covers the round trip between regions.
 	dialTimeout = 250 * time.Millisecond
-	// probeAttempts is how many tries have to fail. A single one may be a lost packet.
+	// probeAttempts is the number of failed probes after which the server is
+	// unresponsive. A single failure may be a lost packet.
 	probeAttempts = 2
-	// probeInterval is the time between tries.
+	// probeInterval is the pause after a failed probe.
 	probeInterval = 100 * time.Millisecond
-	// probeWindow is how long a silent side is tried. After that calls go through
-	// again, and show it anew.
+	// probeWindow bounds how long the server is probed. After that, calls are
+	// allowed again; if they get no response either, the next check probes the
+	// server again.
 	probeWindow = 30 * time.Second
 )
 
-// ErrUnresponsive is the cause that ends calls to a side that has fallen silent.
-var ErrUnresponsive = errors.New("the other side has fallen silent")
+// ErrUnresponsive is the cancellation cause of calls to an unresponsive server.
+var ErrUnresponsive = errors.New("server is unresponsive")
 
-// Monitor watches the calls to one address.
+// Monitor detects whether the server at one address is unresponsive from the calls
+// to that address. Its fields are set before the first call. It is safe for
+// concurrent use.
 type Monitor struct {
-	// Address is tried when answers stay away.
+	// Address is the host and port of the server. It is probed when calls get no
+	// responses.
 	Address string
-	// OnChange is told when the side falls silent, and when it takes connections
-	// again. It may be nil.
-	OnChange func(silent bool)
+	// OnChange is called when the server becomes unresponsive, and again when it
+	// accepts connections. It may be nil.
+	OnChange func(unresponsive bool)
 
 	mu           sync.Mutex
 	stall        wharfrouting.StallDetector
 	unresponsive bool
-	// armed says that check is to run, or that the side is being tried.
+	// armed is true while a timer for check is set or the server is being probed.
 	armed bool
-	// responses counts the answers.
+	// responses counts the responses of the server.
 	responses uint64
 	calls     map[*Call]struct{}
 }
 
-// Call is a call under way.
+// Call is a monitored call in flight.
 type Call struct {
 	monitor *Monitor
 	cancel  context.CancelCauseFunc
-	began   time.Time
+	started time.Time
 }
 
-// Unresponsive reports whether the side is known to be silent.
-func (w *Monitor) Unresponsive() bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.unresponsive
+// Unresponsive reports whether the server is known to be unresponsive.
+func (m *Monitor) Unresponsive() bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.unresponsive
 }
 
-// Begin watches a call until its End. The context that it returns ends with the
-// cause ErrUnresponsive if the side falls silent.
-func (w *Monitor) Begin(ctx context.Context) (context.Context, *Call) {
+// Begin starts to monitor a call; the caller ends it with Call.End. The context
+// that Begin returns is cancelled with the cause ErrUnresponsive if the server
+// becomes unresponsive.
+func (m *Monitor) Begin(ctx context.Context) (context.Context, *Call) {
 	ctx, cancel := context.WithCancelCause(ctx)
-	c := &Call{monitor: w, cancel: cancel, began: time.Now()}
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.calls == nil {
-		w.calls = make(map[*Call]struct{})
+	c := &Call{monitor: m, cancel: cancel, started: time.Now()}
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if m.calls == nil {
+		m.calls = make(map[*Call]struct{})
 	}
-	w.calls[c] = struct{}{}
-	w.stall.RecordSend(c.began)
-	w.arm(c.began)
+	m.calls[c] = struct{}{}
+	m.stall.RecordSend(c.started)
+	m.arm(c.started)
 	return ctx, c
 }
 
-// arm has the silence checked when it would last too long; the caller holds the
-// lock. Answers don't disarm it, so that they cost nothing.
-func (w *Monitor) arm(now time.Time) {
-	if due, waits := w.stall.Deadline(); waits && !w.armed {
-		w.armed = true
-		time.AfterFunc(due.Sub(now), w.check)
+// arm sets a timer that runs check when the stall timeout of the pending calls
+// expires; the caller holds the lock. Responses don't stop the timer, so that they
+// cost nothing.
+func (m *Monitor) arm(now time.Time) {
+	if deadline, pending := m.stall.Deadline(); pending && !m.armed {
+		m.armed = true
+		time.AfterFunc(deadline.Sub(now), m.check)
 	}
 }
 
-// check tries the side if its silence lasts.
-func (w *Monitor) check() {
-	w.mu.Lock()
-	now, before := time.Now(), w.responses
-	due, waits := w.stall.Deadline()
-	if !waits || now.Before(due) {
-		w.armed = false
-		w.arm(now)
-		w.mu.Unlock()
+// check probes the server if it has sent no response within the stall timeout.
+func (m *Monitor) check() {
+	m.mu.Lock()
+	now, responsesBefore := time.Now(), m.responses
+	deadline, pending := m.stall.Deadline()
+	if !pending || now.Before(deadline) {
+		m.armed = false
+		m.arm(now)
+		m.mu.Unlock()
 		return
 	}
-	w.mu.Unlock()
-	w.probe(before)
+	m.mu.Unlock()
+	m.probe(responsesBefore)
 }
 
-// RecordResponse notes that the side has answered this call.
+// RecordResponse records that the server has responded to this call.
 func (c *Call) RecordResponse() {
 	c.monitor.mu.Lock()
 	defer c.monitor.mu.Unlock()
-	c.monitor.stall.RecordResponse(time.Since(c.began))
+	c.monitor.stall.RecordResponse(time.Since(c.started))
 	c.monitor.responses++
 }
 
-// End ends the call.
+// End stops monitoring the call and cancels its context.
 func (c *Call) End() {
 	c.cancel(nil)
 	c.monitor.mu.Lock()
@@ -115,56 +122,58 @@
 	delete(c.monitor.calls, c)
 }
 
-// probe tries the side until it takes a connection. It had answered so many times
-// before.
-func (w *Monitor) probe(before uint64) {
+// probe connects to the server until it accepts a connection or probeWindow is
+// over. responsesBefore is the number of responses when the stall was detected.
+func (m *Monitor) probe(responsesBefore uint64) {
 	ctx, cancel := context.WithTimeout(context.Background(), probeWindow)
 	defer cancel()
 	for failed := 0; ctx.Err() == nil; {
-		if wharfsocket.CanConnect(ctx, w.Address, dialTimeout) {
-			w.markRecovered(true)
+		if wharfsocket.CanConnect(ctx, m.Address, dialTimeout) {
+			m.markRecovered(true)
 			return
 		}
 		failed++
-		if failed == probeAttempts && !w.markUnresponsive(before) {
+		if failed == probeAttempts && !m.markUnresponsive(responsesBefore) {
 			break
 		}
 		wharftimer.Sleep(ctx, probeInterval)
 	}
-	w.markRecovered(false)
+	m.markRecovered(false)
 }
 
-// markUnresponsive ends the calls under way. It is false if an answer came in the meantime.
-func (w *Monitor) markUnresponsive(before uint64) bool {
-	w.mu.Lock()
-	if w.responses != before {
-		w.mu.Unlock()
+// markUnresponsive marks the server as unresponsive and cancels the calls in
+// flight. It returns false and does nothing if a response has arrived since the
+// stall was detected.
+func (m *Monitor) markUnresponsive(responsesBefore uint64) bool {
+	m.mu.Lock()
+	if m.responses != responsesBefore {
+		m.mu.Unlock()
 		return false
 	}
-	w.unresponsive = true
-	for c := range w.calls {
+	m.unresponsive = true
+	for c := range m.calls {
 		c.cancel(ErrUnresponsive)
 	}
-	w.mu.Unlock()
-	w.notifyChange(true)
+	m.mu.Unlock()
+	m.notifyChange(true)
 	return true
 }
 
-// markRecovered lets calls through again, because the side accepts them or only calls
-// can tell.
-func (w *Monitor) markRecovered(accepts bool) {
-	w.mu.Lock()
-	was := w.unresponsive
-	w.unresponsive, w.armed = false, false
-	w.stall.Reset()
-	w.mu.Unlock()
-	if was && accepts {
-		w.notifyChange(false)
+// markRecovered allows calls again. reachable tells whether the server has accepted
+// a connection; otherwise only further calls can show whether it responds.
+func (m *Monitor) markRecovered(reachable bool) {
+	m.mu.Lock()
+	wasUnresponsive := m.unresponsive
+	m.unresponsive, m.armed = false, false
+	m.stall.Reset()
+	m.mu.Unlock()
+	if wasUnresponsive && reachable {
+		m.notifyChange(false)
 	}
 }
 
-func (w *Monitor) notifyChange(silent bool) {
-	if w.OnChange != nil {
-		w.OnChange(silent)
+func (m *Monitor) notifyChange(unresponsive bool) {
+	if m.OnChange != nil {
+		m.OnChange(unresponsive)
 	}
 }
--- a/wharfnode/internal/wharfliveness/monitor_test.go
+++ b/wharfnode/internal/wharfliveness/monitor_test.go
@@ -23,60 +23,69 @@
 	return l
 }
 
-// beginLate begins calls so late after one without an answer that it is a silence.
-func beginLate(t *testing.T, w *Monitor) []context.Context {
+// beginStalledCalls begins three calls that get no response. The last one begins
+// after the stall timeout of the first.
+func beginStalledCalls(t *testing.T, m *Monitor) []context.Context {
 	t.Helper()
-	var all []context.Context
+	var contexts []context.Context
 	for range 3 {
-		ctx, c := w.Begin(t.Context())
+		ctx, c := m.Begin(t.Context())
 		t.Cleanup(c.End)
-		all = append(all, ctx)
+		contexts = append(contexts, ctx)
 		time.Sleep(150 * time.Millisecond)
 	}
-	return all
+	return contexts
 }
 
-func TestSilenceEndsCallsUntilConnectionsAreTaken(t *testing.T) {
+// TestUnresponsiveServerEndsCallsUntilItAcceptsConnections guards against calls
+// that wait until their deadline for a server that refuses connections, and against
+// a server that stays marked as unresponsive after it accepts connections again.
+func TestUnresponsiveServerEndsCallsUntilItAcceptsConnections(t *testing.T) {
 	is := is.New(t)
 	l := listen(t, "127.0.0.1:0")
 	address := l.Addr().String()
 	is.NoErr(l.Close())
-	w := &Monitor{Address: address}
-	calls := beginLate(t, w)
-	wharftest.Eventually(t, "the silence is known", w.Unresponsive)
+	m := &Monitor{Address: address}
+	calls := beginStalledCalls(t, m)
+	wharftest.Eventually(t, "the server is unresponsive", m.Unresponsive)
 	for _, ctx := range calls {
 		<-ctx.Done()
 		is.True(errors.Is(context.Cause(ctx), ErrUnresponsive))
 	}
 	listen(t, address)
-	wharftest.Eventually(t, "the silence is over", func() bool { return !w.Unresponsive() })
-	ctx, c := w.Begin(t.Context())
+	wharftest.Eventually(t, "the server has recovered", func() bool { return !m.Unresponsive() })
+	ctx, c := m.Begin(t.Context())
 	is.NoErr(ctx.Err())
 	c.End()
 	is.True(!errors.Is(context.Cause(ctx), ErrUnresponsive))
 }
 
-func TestSlowSideThatTakesConnectionsIsNotSilent(t *testing.T) {
+// TestSlowServerThatAcceptsConnectionsStaysResponsive guards against cancelled calls
+// when the server sends no response within the stall timeout but accepts
+// connections.
+func TestSlowServerThatAcceptsConnectionsStaysResponsive(t *testing.T) {
 	is := is.New(t)
-	w := &Monitor{Address: listen(t, "127.0.0.1:0").Addr().String()}
-	for _, ctx := range beginLate(t, w) {
+	m := &Monitor{Address: listen(t, "127.0.0.1:0").Addr().String()}
+	for _, ctx := range beginStalledCalls(t, m) {
 		is.NoErr(ctx.Err())
 	}
-	is.True(!w.Unresponsive())
+	is.True(!m.Unresponsive())
 }
 
-func TestAnswerWhileConnectionsFailIsNoSilence(t *testing.T) {
+// TestResponseWhileConnectionsFailKeepsServerResponsive guards against cancelled
+// calls when a response arrives on an open connection while probes fail.
+func TestResponseWhileConnectionsFailKeepsServerResponsive(t *testing.T) {
 	is := is.New(t)
 	l := listen(t, "127.0.0.1:0")
 	is.NoErr(l.Close())
-	w := &Monitor{Address: l.Addr().String()}
-	ctx, first := w.Begin(t.Context())
+	m := &Monitor{Address: l.Addr().String()}
+	ctx, first := m.Begin(t.Context())
 	defer first.End()
 	time.Sleep(300 * time.Millisecond)
-	_, second := w.Begin(t.Context())
+	_, second := m.Begin(t.Context())
 	defer second.End()
 	second.RecordResponse()
 	time.Sleep(2 * probeInterval)
 	is.NoErr(ctx.Err())
-	is.True(!w.Unresponsive())
+	is.True(!m.Unresponsive())
 }
