--- a/wharfnode/internal/wharfpeers/doc.go
+++ b/wharfnode/internal/wharfpeers/doc.go
@@ -1,4 +1,4 @@
-// Package wharfpeers keeps the connections of a node to other nodes for what
-// isn't a call: exchanges, questions about keys and suspicions. Calls go over
-// package wharftransport.
+// Package wharfpeers holds the gRPC connections of a node to other nodes for all
+// RPCs except calls: gossip exchanges, consultations about keys, hand-over of key
+// records and quarantine suspicions. Calls use package wharftransport.
 package wharfpeers
--- a/wharfnode/internal/wharfpeers/pool.go
+++ b/wharfnode/internal/wharfpeers/pool.go
@@ -15,26 +15,31 @@
 )
 
 const (
-	// idleTimeout closes the transport of a connection that isn't used.
+	// idleTimeout is how long an unused connection keeps its transport open.
 	idleTimeout = time.Minute
 	// connectTimeout bounds the set-up of a connection.
 	connectTimeout = 500 * time.Millisecond
-	// keepaliveTime and keepaliveTimeout find peers that vanished silently.
+	// keepaliveTime and keepaliveTimeout detect peers that became unreachable
+	// without closing the connection.
 	keepaliveTime    = 10 * time.Second
 	keepaliveTimeout = 2 * time.Second
-	// streamWindow bounds the memory of one exchange under way, in bytes.
+	// streamWindow is the flow control window of one RPC in bytes. It bounds the
+	// memory of the RPC.
 	streamWindow = 256 << 10
-	// connWindow bounds the memory of a connection, in bytes.
+	// connWindow is the flow control window of a connection in bytes. It bounds
+	// the memory of the connection.
 	connWindow = 4 << 20
-	// MaxMessage is the largest message between nodes, in bytes.
+	// MaxMessage is the maximum size of a message between nodes in bytes.
 	MaxMessage = 16 << 20
 	poolShards = 16
 )
 
-// Pool keeps one connection for each peer. The zero Pool is ready to use.
+// Pool holds one connection for each peer address. The zero Pool is ready to use.
+// It is safe for concurrent use.
 type Pool struct {
-	// SelfAddress is the address that others reach this node by, and ListenAddress the one
-	// that it listens on. Calls to itself don't leave the VM.
+	// SelfAddress is the address by which other nodes reach this node, and
+	// ListenAddress is the address on which it listens. A connection to SelfAddress
+	// is made to ListenAddress, if that is set, so that it doesn't leave the VM.
 	SelfAddress, ListenAddress string
 
 	shards [poolShards]poolShard
@@ -49,7 +54,8 @@
 	return &p.shards[xxhash.Sum64String(address)%poolShards]
 }
 
-// Client returns a client of the node at an address. Nothing is sent yet.
+// Client returns a client of the node at an address. The pool owns its connection.
+// The connection is set up by the first RPC.
 func (p *Pool) Client(address string) (wharfwire.NodeClient, error) {
 	conn, err := p.conn(address)
 	if err != nil {
@@ -83,8 +89,8 @@
 func dial(address string) (*grpc.ClientConn, error) {
 	return grpc.NewClient("passthrough:///"+address,
 		grpc.WithTransportCredentials(insecure.NewCredentials()),
-		// Retries are decided by this project alone. The library would resend
-		// a call whose stream was refused.
+		// Only the node decides about retries. The library would resend an RPC
+		// whose stream was refused.
 		grpc.WithDisableRetry(),
 		grpc.WithDisableServiceConfig(),
 		grpc.WithNoProxy(),
@@ -100,7 +106,8 @@
 	)
 }
 
-// ServerOptions returns the options of a node's server that match the pool.
+// ServerOptions returns the gRPC server options of a node, which match the client
+// options of the pool.
 func ServerOptions() []grpc.ServerOption {
 	return []grpc.ServerOption{
 		grpc.InitialWindowSize(streamWindow),
@@ -111,7 +118,7 @@
 	}
 }
 
-// Close ends all connections.
+// Close closes all connections.
 func (p *Pool) Close() {
 	for i := range p.shards {
 		s := &p.shards[i]
@@ -124,7 +131,7 @@
 	}
 }
 
-// Prune closes the connections to addresses that are no longer wanted.
+// Prune closes the connections to the addresses for which wanted returns false.
 func (p *Pool) Prune(wanted func(address string) bool) {
 	for i := range p.shards {
 		s := &p.shards[i]
--- a/wharfnode/internal/wharfrandom/doc.go
+++ b/wharfnode/internal/wharfrandom/doc.go
@@ -1,3 +1,3 @@
-// Package wharfrandom holds the random numbers of a node. Decision packages get
-// theirs from outside.
+// Package wharfrandom creates the random number generators of a node. The decision
+// packages take their generator as an argument.
 package wharfrandom
