--- a/wharfnode/internal/wharftarget/admit.go
+++ b/wharfnode/internal/wharftarget/admit.go
@@ -11,13 +11,15 @@
 	"ragwortwharf.dev/wharf/wharfwire"
 )
 
-// admission is what a waiting call is told.
+// admission is the decision of the gate on a waiting call. The outcome is set only
+// if run is false.
 type admission struct {
 	run     bool
 	outcome wharfoutcome.Outcome
 }
 
-// admit lets a call wait for a slot of its target.
+// admit waits until the call gets a slot of its target. It returns false and the
+// outcome if the call is rejected.
 func (s *Server) admit(c *call) (wharfoutcome.Outcome, bool) {
 	if !s.admitsClient(c) {
 		s.abandonKey(c)
@@ -34,20 +36,22 @@
 	}
 	if c.head.GetStreams() {
 		admitted := &wharfwire.Admitted{AttemptId: c.head.GetAttemptId()}
-		// A lost sender shows when the body is read.
+		// The error is ignored: if the sender has disconnected, reading the body
+		// fails, too.
 		_ = c.stream.Send(&wharfwire.AnswerFrame{Admitted: admitted})
 	}
 	return o, true
 }
 
-// admitsClient decides whether work that begins here is let in. Calls made for work
-// that was let in elsewhere go on.
+// admitsClient reports whether backpressure admits the call. It rejects client
+// requests only: a call that a service makes belongs to a client request that was
+// admitted elsewhere.
 func (s *Server) admitsClient(c *call) bool {
 	return !c.fromClient || s.Backpressure.Admit(c.ticketPriority())
 }
 
-// admit waits until the call may run on the target. The outcome is the zero
-// value if it may.
+// admit waits until the gate of the target has decided on the call. The outcome is
+// the zero value if the call may run.
 func (t *target) admit(c *call) (wharfoutcome.Outcome, bool) {
 	decided := make(chan admission, 1)
 	now := time.Now()
@@ -56,28 +60,29 @@
 	t.configure(c.config)
 	t.waiters[c.id] = decided
 	t.apply(t.gate.Offer(now, ticket))
-	latest := t.gate.LatestStart(ticket)
+	latestStart := t.gate.LatestStart(ticket)
 	t.mu.Unlock()
 	select {
 	case a := <-decided:
 		return a.outcome, a.run
 	default:
 	}
-	// The sender hears of a refusal only if it comes before its own time is over.
-	late := time.NewTimer(latest.Sub(now))
-	defer late.Stop()
+	// A rejection is of use only if it reaches the sender before the sender's
+	// deadline.
+	startTimer := time.NewTimer(latestStart.Sub(now))
+	defer startTimer.Stop()
 	select {
 	case a := <-decided:
 		return a.outcome, a.run
-	case <-late.C:
+	case <-startTimer.C:
 		return t.cancel(c, decided, wharfoutcome.ReasonDeadline)
 	case <-c.ctx.Done():
 		return t.cancel(c, decided, c.endReason(c.ctx))
 	}
 }
 
-// cancel takes a call back whose caller went away or whose time is over. If
-// it was admitted in the same moment, its slot is freed.
+// cancel removes a waiting call whose sender disconnected or whose time to start is
+// over. If the call was admitted at the same moment, cancel frees its slot.
 func (t *target) cancel(c *call, decided <-chan admission, reason wharfoutcome.Reason) (wharfoutcome.Outcome, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -93,7 +98,8 @@
 	return wharfoutcome.Refuse(reason).WithRetryAfter(t.gate.RetryAfter()), false
 }
 
-// apply tells waiting calls what the gate decided; the caller holds the lock.
+// apply sends the decisions of the gate to the waiting calls; the caller holds the
+// lock.
 func (t *target) apply(fx wharfadmission.Effects) {
 	for _, id := range fx.Run {
 		t.notify(id, admission{run: true})
@@ -103,6 +109,8 @@
 	}
 }
 
+// notify sends a decision to a call if the call still waits; the caller holds the
+// lock.
 func (t *target) notify(id uint64, a admission) {
 	decided, ok := t.waiters[id]
 	if !ok {
@@ -112,13 +120,13 @@
 	decided <- a
 }
 
-// configure puts the reserves of the present classes in force; the caller
-// holds the lock.
+// configure sets the reserves of the gate to those of the configured classes; the
+// caller holds the lock.
 func (t *target) configure(config *wharfconfig.Snapshot) {
-	if t.configured == config.Offset() {
+	if t.reservesOffset == config.Offset() {
 		return
 	}
-	t.configured = config.Offset()
+	t.reservesOffset = config.Offset()
 	var reserves []wharfadmission.Reserve
 	for _, c := range config.Classes() {
 		if c.Reserve > 0 {
@@ -128,8 +136,8 @@
 	t.gate.SetReserves(reserves)
 }
 
-// beginDispatch notes that a call is being dispatched. It is false if the target has said
-// in the meantime that it leaves.
+// beginDispatch records that the call is in flight to the target. It returns false
+// and records nothing if the target has started to leave while the call waited.
 func (t *target) beginDispatch(c *call) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -140,8 +148,8 @@
 	return true
 }
 
-// rejectWaiting sends the waiting calls of a target elsewhere; the caller holds
-// the lock.
+// rejectWaiting refuses all waiting calls of the target, so that their senders can
+// try another target; the caller holds the lock.
 func (t *target) rejectWaiting(reason wharfoutcome.Reason) {
 	for id := range t.waiters {
 		t.gate.Cancel(id)
@@ -149,14 +157,16 @@
 	}
 }
 
-// instance returns the life of the target that announced itself last.
+// instance returns the instance label of the target's last announcement, which
+// identifies the incarnation of the target. It is empty if there is no such label.
 func (t *target) instance() string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.info.Labels[wharfmember.LabelInstance]
 }
 
-// endDispatch frees the slot of a call that was admitted.
+// endDispatch frees the slot of an admitted call and reports its latency and result
+// to the gate.
 func (t *target) endDispatch(c *call, latency time.Duration, result wharfadmission.Result) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -164,9 +174,10 @@
 	t.apply(t.gate.Finish(time.Now(), c.id, latency, result))
 }
 
-// recordCrash counts a broken connection. All requests that were in flight when a
-// target crashes break off one by one; they are one crash. It returns those
-// that were in flight, or nil if the crash is already known.
+// recordCrash records a crash of the target, which the failure of call c has shown.
+// A crash aborts all requests in flight one after another, and only the first of
+// them counts as a new crash. recordCrash returns the fingerprints of the requests in
+// flight, or nil if the crash was already counted, and the number of crashes.
 func (t *target) recordCrash(c *call) ([]wharfquarantine.Fingerprint, int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -181,10 +192,11 @@
 	return all, t.crashes
 }
 
-// load describes the target to senders. The level is the lowest that the call
-// met here or below.
+// load returns the load of the target as reported to the sender of c. The level is
+// the lowest admission level of this target and of the downstream calls of c, and
+// the queue delay is the longer one of this target and of downstream calls.
 func (t *target) load(s *Server, c *call) *wharfwire.Load {
-	below := s.Backpressure.DownstreamDelay()
+	downstreamDelay := s.Backpressure.DownstreamDelay()
 	t.mu.Lock()
 	l, wait := t.gate.Load(), t.gate.EstimatedWait()
 	t.mu.Unlock()
@@ -197,6 +209,6 @@
 		LowestRank: uint32(max(l.LowestRank, 0)),
 		Room:       uint32(l.QueueRoom),
 		Internal:   !c.fromClient,
-		PressureMs: uint32(max(wait, below).Milliseconds()),
+		PressureMs: uint32(max(wait, downstreamDelay).Milliseconds()),
 	}
 }
--- a/wharfnode/internal/wharftarget/backpressure.go
+++ b/wharfnode/internal/wharftarget/backpressure.go
@@ -9,81 +9,87 @@
 )
 
 const (
-	// leastRetryAfter is when a caller may come back at the earliest whose work
-	// was held back. The share that is let in moves slower than that.
-	leastRetryAfter = 300 * time.Millisecond
-	// maxRetryAfter bounds the advice. Fresh work of all ranks is let in again
-	// within this time after trouble.
+	// minRetryAfter is the minimum retry-after hint for a rejected client request,
+	// before jitter. The admitted share changes more slowly than that.
+	minRetryAfter = 300 * time.Millisecond
+	// maxRetryAfter is the maximum retry-after hint, before jitter. Client requests
+	// of all ranks are admitted again within this time after congestion.
 	maxRetryAfter = 3 * time.Second
-	// sweepInterval is how often routes without requests are forgotten.
-	sweepInterval = 10 * time.Second
+	// pruneInterval is the time between two removals of routes without requests.
+	pruneInterval = 10 * time.Second
 )
 
-// BackpressureGuard keeps what the calls of this node's targets meet. A node has one
-// target as a rule, so all calls are taken as made by it. The zero BackpressureGuard
-// holds nothing back.
+// BackpressureGuard rejects client requests while the downstream calls of this node's
+// targets meet queue delay. A node usually has one target, so the delays of all calls
+// are combined. The zero BackpressureGuard admits everything. It is safe for
+// concurrent use.
 type BackpressureGuard struct {
-	// Enabled turns holding back on.
+	// Enabled turns the rejection of client requests on. It is set before the first
+	// use.
 	Enabled bool
 
-	mu      sync.Mutex
-	state   wharfadmission.Backpressure
-	origins wharfadmission.ClientRouteDetector
-	swept   time.Time
+	mu           sync.Mutex
+	state        wharfadmission.Backpressure
+	clientRoutes wharfadmission.ClientRouteDetector
+	lastPrune    time.Time
 }
 
-// IsClientRequest reports whether a kind of request is one of clients.
-func (p *BackpressureGuard) IsClientRequest(route, caller string, services int) bool {
-	if !p.Enabled {
+// IsClientRequest counts a request by a caller for a route and reports whether clients
+// send the requests for this route, as opposed to services. services is the number of
+// services that have targets. The result is always true if the guard is off.
+func (g *BackpressureGuard) IsClientRequest(route, caller string, services int) bool {
+	if !g.Enabled {
 		return true
 	}
 	now := time.Now()
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if now.Sub(p.swept) > sweepInterval {
-		p.swept = now
-		p.origins.Prune(now)
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	if now.Sub(g.lastPrune) > pruneInterval {
+		g.lastPrune = now
+		g.clientRoutes.Prune(now)
 	}
-	return p.origins.IsClientRequest(now, route, caller, services)
+	return g.clientRoutes.IsClientRequest(now, route, caller, services)
 }
 
-// Observe takes the wait that a call of a target here has met.
-func (p *BackpressureGuard) Observe(wait time.Duration) {
-	if !p.Enabled {
+// Observe records the queue delay of a downstream call that a target of this node
+// made.
+func (g *BackpressureGuard) Observe(wait time.Duration) {
+	if !g.Enabled {
 		return
 	}
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.state.Observe(time.Now(), wait)
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.state.Observe(time.Now(), wait)
 }
 
-// Admit reports whether fresh work is let in.
-func (p *BackpressureGuard) Admit(priority wharfadmission.Priority) bool {
-	if !p.Enabled {
+// Admit reports whether a client request of a priority is admitted.
+func (g *BackpressureGuard) Admit(priority wharfadmission.Priority) bool {
+	if !g.Enabled {
 		return true
 	}
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.state.Admit(time.Now(), priority)
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	return g.state.Admit(time.Now(), priority)
 }
 
-// DownstreamDelay returns the wait that the calls of the targets here meet.
-func (p *BackpressureGuard) DownstreamDelay() time.Duration {
-	if !p.Enabled {
+// DownstreamDelay returns the mean queue delay of the downstream calls of this node's
+// targets. It is zero if the guard is off.
+func (g *BackpressureGuard) DownstreamDelay() time.Duration {
+	if !g.Enabled {
 		return 0
 	}
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.state.QueueDelay(time.Now())
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	return g.state.QueueDelay(time.Now())
 }
 
-// RetryAfter advises a caller whose work was held back. The smaller the share
-// that is let in, the later it is worth to come back, so that less important
-// callers don't spend their tries on a service that has no room for them yet.
-func (p *BackpressureGuard) RetryAfter(priority wharfadmission.Priority) time.Duration {
-	p.mu.Lock()
-	share := p.state.AdmittedShare(time.Now(), priority.Rank())
-	p.mu.Unlock()
-	advice := min(time.Duration(float64(leastRetryAfter)/share), maxRetryAfter)
-	return wharfadmission.AddJitter(advice, rand.Float64())
+// RetryAfter returns the retry-after hint for a rejected client request. The hint is
+// longer the smaller the admitted share of the rank is, so that callers of low
+// priority don't spend their retries on a service that has no capacity for them yet.
+func (g *BackpressureGuard) RetryAfter(priority wharfadmission.Priority) time.Duration {
+	g.mu.Lock()
+	admittedShare := g.state.AdmittedShare(time.Now(), priority.Rank())
+	g.mu.Unlock()
+	retryAfter := min(time.Duration(float64(minRetryAfter)/admittedShare), maxRetryAfter)
+	return wharfadmission.AddJitter(retryAfter, rand.Float64())
 }
--- a/wharfnode/internal/wharftarget/body.go
+++ b/wharfnode/internal/wharftarget/body.go
@@ -9,82 +9,88 @@
 	"ragwortwharf.dev/wharfnode/internal/wharftransport"
 )
 
-// callBody reads the body of a call from its frames.
+// callBody is the request body of a call, which Read takes from the frames of the
+// call.
 type callBody struct {
-	stream wharftransport.Stream
-	rest   []byte
-	sum    wharfwire.BodySum
-	ended  bool
-	err    error
-	// broken says that the sender broke off, so that the target isn't blamed
-	// for a request that failed.
-	broken atomic.Bool
+	stream   wharftransport.Stream
+	unread   []byte
+	sum      wharfwire.BodySum
+	complete bool
+	err      error
+	// aborted is true if the sender did not send the complete body, so that the
+	// failure of the request is not recorded as a crash of the target.
+	aborted atomic.Bool
 }
 
-// newCallBody returns the body of a call that began with a frame.
+// newCallBody returns the body of the call on a stream whose first frame was already
+// received.
 func newCallBody(stream wharftransport.Stream, first *wharfwire.CallFrame) *callBody {
 	b := &callBody{stream: stream}
-	b.err = b.take(first)
+	b.err = b.addFrame(first)
 	return b
 }
 
-// take takes the part of the body that a frame carries.
-func (b *callBody) take(frame *wharfwire.CallFrame) error {
-	b.rest = frame.GetChunk()
-	b.sum.Add(b.rest)
+// addFrame makes the chunk of a frame available to Read. If the frame ends the body,
+// addFrame compares the checksum of the body with the one of the sender.
+func (b *callBody) addFrame(frame *wharfwire.CallFrame) error {
+	b.unread = frame.GetChunk()
+	b.sum.Add(b.unread)
 	end := frame.GetEnd()
 	if end == nil {
 		return nil
 	}
 	if !b.sum.Matches(end) {
-		return b.breakOff()
+		return b.abort()
 	}
-	b.ended = true
+	b.complete = true
 	return nil
 }
 
-func (b *callBody) breakOff() error {
-	b.broken.Store(true)
+// abort marks the body as aborted and returns the error for Read.
+func (b *callBody) abort() error {
+	b.aborted.Store(true)
 	return io.ErrUnexpectedEOF
 }
 
-// Read returns the next bytes. The end is only reported after a closing frame
-// that matches.
+// Read reads the next bytes of the body. It returns io.EOF only after an end frame
+// whose checksum matches, and io.ErrUnexpectedEOF if the body is incomplete.
 func (b *callBody) Read(p []byte) (int, error) {
-	for len(b.rest) == 0 && b.err == nil {
-		if b.ended {
+	for len(b.unread) == 0 && b.err == nil {
+		if b.complete {
 			return 0, io.EOF
 		}
 		frame, err := b.stream.Recv()
 		if err != nil {
-			return 0, b.breakOff()
+			return 0, b.abort()
 		}
-		b.err = b.take(frame)
+		b.err = b.addFrame(frame)
 	}
 	if b.err != nil {
 		return 0, b.err
 	}
-	n := copy(p, b.rest)
-	b.rest = b.rest[n:]
+	n := copy(p, b.unread)
+	b.unread = b.unread[n:]
 	return n, nil
 }
 
-// Close has nothing to free: the stream ends with the call.
+// Close does nothing: the stream ends with the call.
 func (b *callBody) Close() error {
 	return nil
 }
 
-// storedResponse collects the answer of a keyed call while it passes.
+// storedResponse collects the response to a keyed call while the node relays it.
 type storedResponse struct {
-	answer wharfidempotency.Response
-	over   bool
+	response wharfidempotency.Response
+	// tooLarge is true if the body exceeded wharfidempotency.MaxStoredBody. The
+	// body is dropped then.
+	tooLarge bool
 }
 
-func (k *storedResponse) add(p []byte) {
-	if k.over || len(k.answer.Body)+len(p) > wharfidempotency.MaxStoredBody {
-		k.over = true
-		k.answer.Body = nil
+func (r *storedResponse) add(p []byte) {
+	if r.tooLarge || len(r.response.Body)+len(p) > wharfidempotency.MaxStoredBody {
+		r.tooLarge = true
+		r.response.Body = nil
 		return
 	}
-	k.answer.Body = append(k.answer.Body, p...)
+	r.response.Body = append(r.response.Body, p...)
 }
--- a/wharfnode/internal/wharftarget/crash.go
+++ b/wharfnode/internal/wharftarget/crash.go
@@ -15,54 +15,58 @@
 )
 
 const (
-	// staleIdle is the idle time after which a lost connection says nothing of
-	// the target if it still accepts new ones.
-	staleIdle = time.Second
-	// probeTimeout bounds the probe of a target whose connection broke.
+	// staleIdleTime is the idle time of a connection after which its loss doesn't
+	// mean that the target crashed, if the target still accepts new connections.
+	staleIdleTime = time.Second
+	// probeTimeout bounds the probe of a target whose connection was lost.
 	probeTimeout = 200 * time.Millisecond
-	// broadcastTimeout bounds how long an answer waits for others to learn of a
-	// crash.
+	// broadcastTimeout bounds how long a response waits until the other nodes have
+	// received the suspicions after a crash.
 	broadcastTimeout = 300 * time.Millisecond
 )
 
-// failed decides what a dispatch without an answer means.
-func (s *Server) failed(c *call, ctx context.Context, conn connection, err error) wharfoutcome.Outcome {
-	excuse := c.endReason(ctx)
-	if !conn.got() {
-		// There never was a connection, so nothing was sent.
-		return wharfoutcome.Refuse(cmp.Or(excuse, wharfoutcome.ReasonUnreachable))
+// failureOutcome returns the outcome of a dispatch without a response. It also reports
+// a crash of the target if nothing else explains the failure.
+func (s *Server) failureOutcome(c *call, ctx context.Context, conn connection, err error) wharfoutcome.Outcome {
+	reason := c.endReason(ctx)
+	if !conn.established() {
+		// No connection was established, so nothing was sent.
+		return wharfoutcome.Refuse(cmp.Or(reason, wharfoutcome.ReasonUnreachable))
 	}
 	c.arrived = true
-	if excuse != wharfoutcome.ReasonNone {
-		return wharfoutcome.Uncertain(excuse)
+	if reason != wharfoutcome.ReasonNone {
+		return wharfoutcome.Uncertain(reason)
 	}
 	s.Log.Emit(wharfevents.DispatchFailed,
 		wharfevents.Field{Name: "target", Value: c.target.address},
 		wharfevents.ErrorField(err))
-	if (conn.idle > staleIdle || s.RefusesAfterCrash) && s.accepts(c) {
+	if (conn.idle > staleIdleTime || s.RefusesAfterCrash) && s.acceptsConnections(c) {
 		return wharfoutcome.Uncertain(wharfoutcome.ReasonAnswerLost)
 	}
 	s.reportCrash(c)
 	return wharfoutcome.Uncertain(wharfoutcome.ReasonTargetCrashed)
 }
 
-// brokeOff decides what an answer that ended early means.
-func (s *Server) brokeOff(c *call, ctx context.Context, senderLost bool) wharfoutcome.Outcome {
-	excuse := c.endReason(ctx)
-	if excuse == wharfoutcome.ReasonNone && senderLost {
-		excuse = wharfoutcome.ReasonCancelled
+// truncationOutcome returns the outcome of a dispatch whose response was truncated.
+// senderLost tells that sending the response failed. It also reports a crash of the
+// target if nothing else explains the failure.
+func (s *Server) truncationOutcome(c *call, ctx context.Context, senderLost bool) wharfoutcome.Outcome {
+	reason := c.endReason(ctx)
+	if reason == wharfoutcome.ReasonNone && senderLost {
+		reason = wharfoutcome.ReasonCancelled
 	}
-	if excuse != wharfoutcome.ReasonNone {
-		return wharfoutcome.Uncertain(excuse)
+	if reason != wharfoutcome.ReasonNone {
+		return wharfoutcome.Uncertain(reason)
 	}
-	if s.RefusesAfterCrash && s.accepts(c) {
+	if s.RefusesAfterCrash && s.acceptsConnections(c) {
 		return wharfoutcome.Uncertain(wharfoutcome.ReasonAnswerIncomplete)
 	}
 	s.reportCrash(c)
 	return wharfoutcome.Uncertain(wharfoutcome.ReasonTargetCrashed)
 }
 
-// endReason names what ended a dispatch, if it wasn't the target.
+// endReason returns why the node or the sender ended a call, or ReasonNone if neither
+// did, so that a failed dispatch is due to the target.
 func (c *call) endReason(ctx context.Context) wharfoutcome.Reason {
 	switch {
 	case !time.Now().Before(c.deadline):
@@ -71,22 +75,23 @@
 		return wharfoutcome.ReasonTargetSilent
 	case ctx.Err() != nil:
 		return wharfoutcome.ReasonCancelled
-	case c.body.broken.Load():
+	case c.body.aborted.Load():
 		return wharfoutcome.ReasonBodyIncomplete
 	default:
 		return wharfoutcome.ReasonNone
 	}
 }
 
-// accepts reports whether the target takes new connections.
-func (s *Server) accepts(c *call) bool {
+// acceptsConnections reports whether the target accepts a new connection.
+func (s *Server) acceptsConnections(c *call) bool {
 	return wharfsocket.CanConnect(c.ctx, c.target.address, probeTimeout)
 }
 
-// reportCrash makes the requests in flight suspects, and tells the other nodes of
-// the service before the sender can try again.
+// reportCrash records a crash of the target, marks the requests in flight as suspects
+// and sends the suspicions to the other nodes of the service, before the sender of
+// the call can retry it.
 func (s *Server) reportCrash(c *call) {
-	fingerprints, crash := c.target.recordCrash(c)
+	fingerprints, crashNumber := c.target.recordCrash(c)
 	if fingerprints == nil {
 		return
 	}
@@ -94,19 +99,23 @@
 	s.Log.Emit(wharfevents.TargetCrashed,
 		wharfevents.Field{Name: "target", Value: address},
 		wharfevents.Field{Name: "in-flight", Value: len(fingerprints)})
-	id := wharfquarantine.CrashID{Target: address, Incarnation: s.View.Incarnation(), Number: crash}
+	id := wharfquarantine.CrashID{Target: address, Incarnation: s.View.Incarnation(), Number: crashNumber}
 	entries := s.Quarantine.RecordCrash(time.Now(), id, fingerprints)
 	s.reportQuarantined(entries)
 	s.broadcast(c, entries)
 }
 
-// broadcast tells the other nodes of the service before the answer goes on.
+// broadcast sends quarantine entries to the other nodes of the service before the
+// response is sent. It waits at most broadcastTimeout, and it continues if the call is
+// cancelled.
 func (s *Server) broadcast(c *call, entries []wharfquarantine.Entry) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(c.ctx), broadcastTimeout)
 	defer cancel()
 	s.Broadcaster.BroadcastSuspicions(ctx, c.head.GetService(), entries)
 }
 
+// reportQuarantined writes a log line and an audit record for each entry that is
+// quarantined.
 func (s *Server) reportQuarantined(entries []wharfquarantine.Entry) {
 	for _, e := range entries {
 		if !e.Quarantined {
@@ -118,9 +127,9 @@
 	}
 }
 
-// recordSuccess forgives a suspected request that ran without harm.
+// recordSuccess clears the suspicion of a request that completed without a crash.
 func (s *Server) recordSuccess(c *call) {
-	if e, forgiven := s.Quarantine.RecordSuccess(time.Now(), c.fingerprint); forgiven {
+	if e, cleared := s.Quarantine.RecordSuccess(time.Now(), c.fingerprint); cleared {
 		s.broadcast(c, []wharfquarantine.Entry{e})
 	}
 }
--- a/wharfnode/internal/wharftarget/crash_test.go
+++ b/wharfnode/internal/wharftarget/crash_test.go
@@ -10,28 +10,29 @@
 	"ragwortwharf.dev/wharf/wharfoutcome"
 )
 
-// TestExcuse brings what may end a dispatch without fault of the target. A
-// deadline that has passed counts also before its context has ended.
-func TestExcuse(t *testing.T) {
-	ended, cancel := context.WithCancel(context.Background())
+// TestEndReason covers the reasons for a failed dispatch other than the target, which
+// must not be recorded as a crash. A deadline that has passed counts even if its
+// context has not ended yet.
+func TestEndReason(t *testing.T) {
+	cancelled, cancel := context.WithCancel(context.Background())
 	cancel()
 	tests := []struct {
-		name   string
-		ctx    context.Context
-		left   time.Duration
-		broken bool
-		want   wharfoutcome.Reason
+		name      string
+		ctx       context.Context
+		remaining time.Duration
+		aborted   bool
+		want      wharfoutcome.Reason
 	}{
 		{"none", context.Background(), time.Hour, false, wharfoutcome.ReasonNone},
 		{"deadline", context.Background(), 0, false, wharfoutcome.ReasonDeadline},
-		{"deadline and context", ended, 0, true, wharfoutcome.ReasonDeadline},
-		{"sender gone", ended, time.Hour, true, wharfoutcome.ReasonCancelled},
-		{"body broken off", context.Background(), time.Hour, true, wharfoutcome.ReasonBodyIncomplete},
+		{"deadline and context", cancelled, 0, true, wharfoutcome.ReasonDeadline},
+		{"sender cancelled", cancelled, time.Hour, true, wharfoutcome.ReasonCancelled},
+		{"body aborted", context.Background(), time.Hour, true, wharfoutcome.ReasonBodyIncomplete},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
-			c := &call{deadline: time.Now().Add(tc.left), body: &callBody{}}
-			c.body.broken.Store(tc.broken)
+			c := &call{deadline: time.Now().Add(tc.remaining), body: &callBody{}}
+			c.body.aborted.Store(tc.aborted)
 			is.New(t).Equal(c.endReason(tc.ctx), tc.want)
 		})
 	}
--- a/wharfnode/internal/wharftarget/dispatch.go
+++ b/wharfnode/internal/wharftarget/dispatch.go
@@ -18,36 +18,40 @@
 )
 
 const (
-	// idleConnTimeout is shorter than that of common servers, so that a target
-	// rarely closes a connection at the moment it is used again.
+	// idleConnTimeout is the idle timeout of connections for idempotent requests. It
+	// is shorter than that of common servers, so that a target rarely closes a
+	// connection at the moment it is reused.
 	idleConnTimeout = 3 * time.Second
-	// onceIdleTimeout is that of connections for requests which must not run twice.
-	// What a target says of a connection that it has forgotten looks like a crash,
-	// and such a request can't be tried again. It is below the shortest times after
-	// which servers and what lies before them are known to forget, 300 ms.
-	onceIdleTimeout = 200 * time.Millisecond
-	// targetDialTimeout bounds the set-up of a connection to a target, which is on
-	// the own VM.
+	// nonIdempotentIdleTimeout is the idle timeout of connections for requests that
+	// must not run twice. If the other end has already dropped an idle connection,
+	// its reset looks like a crash of the target, and such a request can't be
+	// retried. The timeout is below 300 ms, the shortest time after which servers
+	// and the proxies in front of them are known to drop connections.
+	nonIdempotentIdleTimeout = 200 * time.Millisecond
+	// targetDialTimeout bounds the set-up of a connection to a target, which runs on
+	// the same VM.
 	targetDialTimeout = time.Second
-	// maxIdleConns is the number of idle connections kept to a target.
+	// maxIdleConns is the maximum number of idle connections to a target.
 	maxIdleConns = 256
 )
 
-// dispatcher sends requests to targets. The zero dispatcher is ready to use.
+// dispatcher sends requests to targets. The zero dispatcher is ready to use. It is
+// safe for concurrent use.
 type dispatcher struct {
-	setUp sync.Once
-	// again carries requests that may run twice, and once the others.
-	again, once *http.Transport
+	initOnce sync.Once
+	// idempotentTransport carries requests that may run twice, and
+	// nonIdempotentTransport carries all others.
+	idempotentTransport, nonIdempotentTransport *http.Transport
 }
 
 func (d *dispatcher) roundTrip(r *http.Request, idempotent bool) (*http.Response, error) {
-	d.setUp.Do(func() {
-		d.again, d.once = newTransport(idleConnTimeout), newTransport(onceIdleTimeout)
+	d.initOnce.Do(func() {
+		d.idempotentTransport, d.nonIdempotentTransport = newTransport(idleConnTimeout), newTransport(nonIdempotentIdleTimeout)
 	})
 	if idempotent {
-		return d.again.RoundTrip(r)
+		return d.idempotentTransport.RoundTrip(r)
 	}
-	return d.once.RoundTrip(r)
+	return d.nonIdempotentTransport.RoundTrip(r)
 }
 
 func newTransport(idle time.Duration) *http.Transport {
@@ -59,29 +63,30 @@
 	}
 }
 
-// connection is what is known of the connection that a request went over.
+// connection is the connection that carried a request, and the time for which it was
+// idle before. Conn is nil if there was no connection.
 type connection struct {
 	net.Conn
 	idle time.Duration
 }
 
-// got reports whether there was a connection, so that the request may have been
-// sent.
-func (c *connection) got() bool {
+// established reports whether the request had a connection and so may have been sent.
+func (c *connection) established() bool {
 	return c.Conn != nil
 }
 
-// dispatch sends an admitted call to the target and its answer to the sender.
+// dispatch sends the request of an admitted call to the target and relays the
+// response to the sender.
 func (s *Server) dispatch(c *call) (wharfoutcome.Outcome, bool) {
 	result := wharfadmission.Cancelled
 	started := time.Now()
-	// The time that the target waited for calls of its own is not its latency.
+	// The latency of the target excludes the time it waited for downstream calls.
 	defer func() { c.target.endDispatch(c, time.Since(started)-c.downstream.DownstreamTime, result) }()
 	if !c.target.beginDispatch(c) {
 		s.abandonKey(c)
 		return wharfoutcome.Refuse(wharfoutcome.ReasonLeaving), false
 	}
-	if o, ok := s.mayDispatch(c); !ok {
+	if o, ok := s.tryDispatchKey(c); !ok {
 		return o, false
 	}
 	c.dispatched = true
@@ -94,23 +99,23 @@
 	})
 	ctx, cancel := s.dispatchContext(c)
 	defer cancel()
-	ctx, watched := c.target.monitor.Begin(ctx)
-	defer watched.End()
+	ctx, monitored := c.target.monitor.Begin(ctx)
+	defer monitored.End()
 	var conn connection
 	response, err := s.client.roundTrip(s.request(c, ctx, &conn), c.head.GetIdempotent())
 	if err != nil {
-		o := s.failed(c, ctx, conn, err)
+		o := s.failureOutcome(c, ctx, conn, err)
 		result = resultOf(ctx, o)
-		s.settle(c)
+		s.closeGrant(c)
 		s.finishKey(c, o, nil)
 		return o, false
 	}
-	watched.RecordResponse()
+	monitored.RecordResponse()
 	defer func() { _ = response.Body.Close() }()
 	c.arrived = true
 	switch v := s.Protocol.Classify(response, c.dispatchInfo); v.Kind {
 	case wharfoutcome.NotRun:
-		s.settle(c)
+		s.closeGrant(c)
 		if !c.downstream.DownstreamRefused {
 			result = wharfadmission.Shed
 		}
@@ -118,9 +123,10 @@
 		s.finishKey(c, o, nil)
 		return o, false
 	case wharfoutcome.Unknown:
-		// What else comes on this connection can't be told apart either.
+		// Later responses on this connection could not be matched to their requests
+		// either.
 		_ = conn.Close()
-		s.settle(c)
+		s.closeGrant(c)
 		o := wharfoutcome.Uncertain(v.Reason)
 		s.finishKey(c, o, nil)
 		return o, false
@@ -128,8 +134,9 @@
 	return s.relay(c, ctx, response, &result)
 }
 
-// dispatchContext bounds a dispatch. A request with the caller's own key goes
-// on when its sender is lost, so that a resend finds the answer.
+// dispatchContext returns the context of a dispatch. A request with a caller's
+// idempotency key continues when its sender disconnects, so that a resend gets the
+// stored response.
 func (s *Server) dispatchContext(c *call) (context.Context, context.CancelFunc) {
 	if c.keyed && !c.head.GetKeyMinted() {
 		return context.WithDeadline(context.WithoutCancel(c.ctx), c.deadline)
@@ -137,8 +144,9 @@
 	return context.WithCancel(c.ctx)
 }
 
-// request builds the request to the target. Its body can't be rewound, so the
-// transport never sends it twice, whatever its headers say.
+// request returns the request to the target and fills conn when the transport has
+// picked a connection. The body can't be rewound, so the transport never sends the
+// request twice, whatever its headers are.
 func (s *Server) request(c *call, ctx context.Context, conn *connection) *http.Request {
 	trace := &httptrace.ClientTrace{GotConn: func(info httptrace.GotConnInfo) {
 		conn.Conn, conn.idle = info.Conn, info.IdleTime
@@ -172,8 +180,8 @@
 	return r
 }
 
-// urlOf returns the URL of a request to a target. The path goes on as the caller
-// wrote it, without being decoded and encoded again.
+// urlOf returns the URL of a request to a target. It keeps the path as the caller
+// wrote it, without decoding and encoding it again.
 func urlOf(address, uri string) *url.URL {
 	u := &url.URL{Scheme: "http", Host: address}
 	if strings.HasPrefix(uri, "//") {
@@ -184,11 +192,13 @@
 	return u
 }
 
-// settle closes the grant of the call and keeps what it says of those below.
-func (s *Server) settle(c *call) {
+// closeGrant closes the ledger entry of the call and stores the results of its
+// downstream calls in c.
+func (s *Server) closeGrant(c *call) {
 	c.downstream = s.Ledger.Close(c.grant)
 }
 
+// resultOf returns the result of a failed dispatch for the limiter of the target.
 func resultOf(ctx context.Context, o wharfoutcome.Outcome) wharfadmission.Result {
 	switch {
 	case o.Reason == wharfoutcome.ReasonDeadline:
--- a/wharfnode/internal/wharftarget/leaving.go
+++ b/wharfnode/internal/wharftarget/leaving.go
@@ -5,12 +5,13 @@
 	"ragwortwharf.dev/wharfnode/internal/wharfview"
 )
 
-// SetLeaving makes the node refuse new work from now on.
+// SetLeaving makes the node refuse all new calls from now on.
 func (s *Server) SetLeaving() {
 	s.leaving.Store(true)
 }
 
-// checkLeaving refuses new work for a target or a node that is leaving.
+// checkLeaving refuses a call if the node has no target for it, or if the target or
+// the node is leaving.
 func (s *Server) checkLeaving(c *call) (wharfoutcome.Outcome, bool) {
 	if c.target == nil {
 		return wharfoutcome.Refuse(wharfoutcome.ReasonNoTarget), false
--- a/wharfnode/internal/wharftarget/liveness.go
+++ b/wharfnode/internal/wharftarget/liveness.go
@@ -5,11 +5,12 @@
 	"ragwortwharf.dev/wharfnode/wharfevents"
 )
 
-// onLivenessChange takes note of a target that has fallen silent or answers again. What
-// waits for a silent one is sent elsewhere.
-func (g *Registry) onLivenessChange(t *target, silent bool) {
+// onLivenessChange logs that a target has become unresponsive or has recovered. It
+// refuses the calls that wait for an unresponsive target, so that their senders can
+// try another one.
+func (g *Registry) onLivenessChange(t *target, unresponsive bool) {
 	event := wharfevents.TargetAnswers
-	if silent {
+	if unresponsive {
 		event = wharfevents.TargetSilent
 		t.mu.Lock()
 		t.rejectWaiting(wharfoutcome.ReasonTargetSilent)
--- a/wharfnode/internal/wharftarget/ownership.go
+++ b/wharfnode/internal/wharftarget/ownership.go
@@ -10,13 +10,14 @@
 	"ragwortwharf.dev/wharf/wharfwire"
 )
 
-// GeneratedKey returns the key of an attempt whose caller gave none. It belongs
-// to the one node that the attempt is sent to.
+// GeneratedKey returns the key of an attempt whose caller sent no idempotency key.
+// The key is owned by the one node that the attempt is sent to.
 func GeneratedKey(attempt uint64) wharfidempotency.KeyID {
 	return wharfidempotency.KeyID{Key: strconv.FormatUint(attempt, 16)}
 }
 
-// claimKey makes sure that a request that isn't idempotent runs at most once.
+// claimKey makes sure that a request that isn't idempotent runs at most once. If a
+// request with the same key is in progress, claimKey waits for its end.
 func (s *Server) claimKey(c *call) (wharfoutcome.Outcome, bool) {
 	if c.head.GetIdempotent() {
 		return wharfoutcome.Outcome{}, true
@@ -28,22 +29,23 @@
 	}
 	c.key = wharfidempotency.KeyID{Service: c.head.GetService(), Caller: c.head.GetCaller(), Key: c.head.GetKey()}
 	for {
-		ended := s.joiners.await(c.key)
-		plan := s.receiveKey(c)
+		// Waiting starts before the decision, so that no wake-up is missed.
+		done := s.joiners.await(c.key)
+		plan := s.decideKey(c)
 		if plan.Action != wharfidempotency.Join {
-			s.joiners.leave(c.key, ended)
-			return s.applyDecision(c, s.consult(c, plan))
+			s.joiners.leave(c.key, done)
+			return s.applyDecision(c, s.consultPreviousOwners(c, plan))
 		}
 		select {
-		case <-ended:
+		case <-done:
 		case <-c.ctx.Done():
 			return wharfoutcome.Uncertain(wharfoutcome.ReasonDeadline), false
 		}
 	}
 }
 
-// receiveKey decides on a call with the caller's key.
-func (s *Server) receiveKey(c *call) wharfidempotency.Plan {
+// decideKey decides on a call with a caller's key.
+func (s *Server) decideKey(c *call) wharfidempotency.Plan {
 	fingerprint := c.head.GetFingerprint()
 	if s.View.State().Offset() < c.head.GetStateOffset() {
 		return s.deduplicator().DecideStale(c.key, fingerprint)
@@ -51,17 +53,19 @@
 	return s.deduplicator().Decide(time.Now(), s.View.Ownership(), c.key, fingerprint, s.View.DedupWindow())
 }
 
+// deduplicator returns the deduplicator for the current incarnation of this node.
 func (s *Server) deduplicator() wharfidempotency.Deduplicator {
 	return wharfidempotency.Deduplicator{Self: s.View.Self(), Keys: s.Keys}
 }
 
-// consult asks the earlier homes of a key that was taken.
-func (s *Server) consult(c *call, plan wharfidempotency.Plan) wharfidempotency.Decision {
+// consultPreviousOwners asks the previous owners of a key that is new to this node.
+// The first one that knows of a dispatch of the key, or can't be reached, decides.
+func (s *Server) consultPreviousOwners(c *call, plan wharfidempotency.Plan) wharfidempotency.Decision {
 	if plan.Action != wharfidempotency.Proceed {
 		return plan.Decision
 	}
-	for _, earlier := range plan.PreviousOwners {
-		decision := s.askPreviousOwner(c, earlier)
+	for _, owner := range plan.PreviousOwners {
+		decision := s.askPreviousOwner(c, owner)
 		if decision.Action != wharfidempotency.Proceed {
 			s.joiners.wake(c.key)
 			return decision
@@ -70,15 +74,17 @@
 	return plan.Decision
 }
 
-func (s *Server) askPreviousOwner(c *call, earlier wharfidempotency.Owner) wharfidempotency.Decision {
-	entry, err := s.Consulter.Consult(c.ctx, earlier, c.key)
+// askPreviousOwner asks one previous owner about the key of the call, which closes
+// the key there.
+func (s *Server) askPreviousOwner(c *call, owner wharfidempotency.Owner) wharfidempotency.Decision {
+	entry, err := s.Consulter.Consult(c.ctx, owner, c.key)
 	if err != nil {
 		return s.deduplicator().PreviousUnreachable(c.key)
 	}
 	return s.Keys.MergePrevious(time.Now(), c.key, entry)
 }
 
-// applyDecision turns the decision of the home into the end of the filter.
+// applyDecision converts the owner's decision on a key into the result of the filter.
 func (s *Server) applyDecision(c *call, d wharfidempotency.Decision) (wharfoutcome.Outcome, bool) {
 	switch d.Action {
 	case wharfidempotency.Proceed:
@@ -89,13 +95,16 @@
 	case wharfidempotency.Refuse:
 		return d.Outcome, false
 	default:
-		// A minted key is sent once, so nobody can join it.
+		// Only a generated key gets here. It is sent once, so no request can join
+		// another one with this key.
 		return wharfoutcome.Uncertain(wharfoutcome.ReasonAnswerLost), false
 	}
 }
 
-// mayDispatch is the last check before the target gets the request.
-func (s *Server) mayDispatch(c *call) (wharfoutcome.Outcome, bool) {
+// tryDispatchKey moves the key of the call to running, right before the request is
+// sent. It returns false and the outcome if the key was closed or this node may not
+// own it any more. It returns true for a call without a key.
+func (s *Server) tryDispatchKey(c *call) (wharfoutcome.Outcome, bool) {
 	if !c.keyed {
 		return wharfoutcome.Outcome{}, true
 	}
@@ -113,7 +122,7 @@
 	return wharfoutcome.Refuse(wharfoutcome.ReasonHomeMoved), false
 }
 
-// abandonKey forgets the key of a call that was refused before its dispatch.
+// abandonKey drops the key of a call that was refused before its dispatch.
 func (s *Server) abandonKey(c *call) {
 	if c.keyed {
 		s.Keys.Abandon(c.key)
@@ -122,13 +131,13 @@
 }
 
 // finishKey records how a dispatched call ended.
-func (s *Server) finishKey(c *call, o wharfoutcome.Outcome, answer *wharfidempotency.Response) {
+func (s *Server) finishKey(c *call, o wharfoutcome.Outcome, response *wharfidempotency.Response) {
 	if !c.keyed {
 		return
 	}
 	switch o.Kind {
 	case wharfoutcome.Completed:
-		s.Keys.Finish(time.Now(), c.key, answer)
+		s.Keys.Finish(time.Now(), c.key, response)
 	case wharfoutcome.NotRun:
 		s.Keys.Rollback(c.key)
 	default:
@@ -137,40 +146,43 @@
 	s.joiners.wake(c.key)
 }
 
-// joiners wakes the resends of a key when the request under way ends. The zero
-// joiners is empty.
+// joiners wakes the resends of a key when the request in progress ends. The zero
+// joiners is empty. It is safe for concurrent use.
 type joiners struct {
 	mu      sync.Mutex
-	waiting map[wharfidempotency.KeyID]*joinList
+	waiting map[wharfidempotency.KeyID]*joinGroup
 }
 
-type joinList struct {
-	ended chan struct{}
+// joinGroup is the group of resends that wait for one key. done is closed when the
+// request in progress ends.
+type joinGroup struct {
+	done  chan struct{}
 	count int
 }
 
-// await returns a channel that is closed when the key's request ends.
+// await adds a waiter for a key. It returns a channel that is closed when the request
+// with the key ends.
 func (j *joiners) await(id wharfidempotency.KeyID) <-chan struct{} {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if j.waiting == nil {
-		j.waiting = make(map[wharfidempotency.KeyID]*joinList)
+		j.waiting = make(map[wharfidempotency.KeyID]*joinGroup)
 	}
 	l, ok := j.waiting[id]
 	if !ok {
-		l = &joinList{ended: make(chan struct{})}
+		l = &joinGroup{done: make(chan struct{})}
 		j.waiting[id] = l
 	}
 	l.count++
-	return l.ended
+	return l.done
 }
 
-// leave gives up waiting.
-func (j *joiners) leave(id wharfidempotency.KeyID, ended <-chan struct{}) {
+// leave removes a waiter whose channel await returned.
+func (j *joiners) leave(id wharfidempotency.KeyID, done <-chan struct{}) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	l, ok := j.waiting[id]
-	if !ok || l.ended != ended {
+	if !ok || l.done != done {
 		return
 	}
 	l.count--
@@ -179,40 +191,41 @@
 	}
 }
 
+// wake wakes all waiters of a key.
 func (j *joiners) wake(id wharfidempotency.KeyID) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if l, ok := j.waiting[id]; ok {
-		close(l.ended)
+		close(l.done)
 		delete(j.waiting, id)
 	}
 }
 
-// packEntry returns the message form of an entry.
-func packEntry(e wharfidempotency.KeyEntry) *wharfwire.ConsultResponse {
+// packKeyEntry returns the message form of a key entry.
+func packKeyEntry(e wharfidempotency.KeyEntry) *wharfwire.ConsultResponse {
 	return &wharfwire.ConsultResponse{State: uint32(e.State), Fingerprint: e.Fingerprint, Answer: PackResponse(e.Response)}
 }
 
-// PackResponse returns the message form of a kept answer.
-func PackResponse(a *wharfidempotency.Response) *wharfwire.KeptAnswer {
-	if a == nil {
+// PackResponse returns the message form of a stored response. It returns nil for nil.
+func PackResponse(r *wharfidempotency.Response) *wharfwire.KeptAnswer {
+	if r == nil {
 		return nil
 	}
-	kept := &wharfwire.KeptAnswer{Status: int32(a.Status), Body: a.Body, Whole: a.Complete}
-	for _, h := range a.Headers {
-		kept.Headers = append(kept.Headers, &wharfwire.Header{Name: h.Name, Values: h.Values})
+	stored := &wharfwire.KeptAnswer{Status: int32(r.Status), Body: r.Body, Whole: r.Complete}
+	for _, h := range r.Headers {
+		stored.Headers = append(stored.Headers, &wharfwire.Header{Name: h.Name, Values: h.Values})
 	}
-	return kept
+	return stored
 }
 
-// UnpackResponse reads the message form of a kept answer.
-func UnpackResponse(kept *wharfwire.KeptAnswer) *wharfidempotency.Response {
-	if kept == nil {
+// UnpackResponse returns the stored response of a message. It returns nil for nil.
+func UnpackResponse(stored *wharfwire.KeptAnswer) *wharfidempotency.Response {
+	if stored == nil {
 		return nil
 	}
 	return &wharfidempotency.Response{
-		Status: int(kept.GetStatus()), Headers: unpackHeaders(kept.GetHeaders()),
-		Body: kept.GetBody(), Complete: kept.GetWhole(),
+		Status: int(stored.GetStatus()), Headers: unpackHeaders(stored.GetHeaders()),
+		Body: stored.GetBody(), Complete: stored.GetWhole(),
 	}
 }
 
--- a/wharfnode/internal/wharftarget/peer.go
+++ b/wharfnode/internal/wharftarget/peer.go
@@ -12,23 +12,26 @@
 	"ragwortwharf.dev/wharf/wharfwire"
 )
 
-// Consult answers a question about a key and closes it here.
+// Consult returns this node's entry of a key. If no request with the key was dispatched
+// here, Consult closes the key, so that none will be unless this node becomes the
+// owner again. It returns an error if the request is for another incarnation of this
+// node, whose records this one does not have.
 func (s *Server) Consult(_ context.Context, r *wharfwire.ConsultRequest) (*wharfwire.ConsultResponse, error) {
 	if r.GetIncarnation() != s.View.Incarnation() {
 		return nil, status.Error(codes.FailedPrecondition, "this life of the node does not have the records asked for")
 	}
 	id := wharfidempotency.KeyID{Service: r.GetService(), Caller: r.GetCaller(), Key: r.GetKey()}
 	offset := max(r.GetStateOffset(), s.View.State().Offset())
-	return packEntry(s.Keys.Close(time.Now(), id, offset)), nil
+	return packKeyEntry(s.Keys.Close(time.Now(), id, offset)), nil
 }
 
-// Suspect takes what another node knows of requests that crash targets.
+// Suspect merges the suspicions of another node about requests that crash targets.
 func (s *Server) Suspect(_ context.Context, r *wharfwire.SuspectRequest) (*wharfwire.SuspectResponse, error) {
 	MergeSuspicions(s.Quarantine, r.GetSuspicions())
 	return &wharfwire.SuspectResponse{}, nil
 }
 
-// HandOver takes the records of keys of a home that is leaving.
+// HandOver imports the key records of an owner that is leaving.
 func (s *Server) HandOver(_ context.Context, r *wharfwire.HandOverRequest) (*wharfwire.HandOverResponse, error) {
 	for _, k := range r.GetRecords() {
 		x := wharfidempotency.ExportedKey{
@@ -77,7 +80,7 @@
 	return out
 }
 
-// MergeSuspicions takes the message form of quarantine entries.
+// MergeSuspicions merges quarantine entries in their message form into a list.
 func MergeSuspicions(l *wharfquarantine.List, suspicions []*wharfwire.Suspicion) {
 	now := time.Now()
 	for _, x := range suspicions {
--- a/wharfnode/internal/wharftarget/quarantine.go
+++ b/wharfnode/internal/wharftarget/quarantine.go
@@ -7,29 +7,30 @@
 	"ragwortwharf.dev/wharf/wharfrouting"
 )
 
-// suspectRetryAfter is the advice to the caller of a suspected request that was
-// sent to a target which may not run it.
+// suspectRetryAfter is the retry-after hint for a suspected request that was sent to
+// a target outside its exposure limit.
 const suspectRetryAfter = time.Second
 
-// checkQuarantine refuses a request that crashes targets, and one that may and
-// was sent to more of them than it is allowed. Its sender did not know then.
+// checkQuarantine refuses a quarantined request. It also refuses a suspected request
+// whose target is outside the exposure limit of the request; this happens when the
+// sender did not know of the suspicion.
 func (s *Server) checkQuarantine(c *call) (wharfoutcome.Outcome, bool) {
 	now := time.Now()
-	if left, refused := s.Quarantine.Quarantined(now, c.fingerprint); refused {
-		return wharfoutcome.Refuse(wharfoutcome.ReasonQuarantined).WithRetryAfter(left), false
+	if remaining, refused := s.Quarantine.Quarantined(now, c.fingerprint); refused {
+		return wharfoutcome.Refuse(wharfoutcome.ReasonQuarantined).WithRetryAfter(remaining), false
 	}
 	suspicion, suspected := s.Quarantine.Suspicion(now, c.fingerprint)
 	if !suspected || runsAtOwner(c) {
 		return wharfoutcome.Outcome{}, true
 	}
-	confinement := wharfrouting.ExposureLimit{Fingerprint: uint64(c.fingerprint), Crashed: suspicion.Targets()}
-	if confinement.Allows(s.View.Targets(c.head.GetService()), c.head.GetTarget()) {
+	exposure := wharfrouting.ExposureLimit{Fingerprint: uint64(c.fingerprint), Crashed: suspicion.Targets()}
+	if exposure.Allows(s.View.Targets(c.head.GetService()), c.head.GetTarget()) {
 		return wharfoutcome.Outcome{}, true
 	}
 	return wharfoutcome.Refuse(wharfoutcome.ReasonSuspected).WithRetryAfter(suspectRetryAfter), false
 }
 
-// runsAtOwner reports whether a call has one target only, the home of its key.
+// runsAtOwner reports whether a call can run on one node only, the owner of its key.
 func runsAtOwner(c *call) bool {
 	return !c.head.GetIdempotent() && !c.head.GetKeyMinted()
 }
--- a/wharfnode/internal/wharftarget/receive.go
+++ b/wharfnode/internal/wharftarget/receive.go
@@ -21,26 +21,27 @@
 	"ragwortwharf.dev/wharfnode/wharfprotocol"
 )
 
-// consulter asks an earlier home about a key, which closes it there.
+// consulter asks a previous owner about a key, which closes the key there.
 type consulter interface {
 	Consult(ctx context.Context, owner wharfidempotency.Owner, id wharfidempotency.KeyID) (wharfidempotency.KeyEntry, error)
 }
 
-// broadcaster tells the nodes of a service which requests crash targets.
+// broadcaster sends quarantine entries to the nodes of a service.
 type broadcaster interface {
 	BroadcastSuspicions(ctx context.Context, service string, entries []wharfquarantine.Entry)
 }
 
-// auditor records acts of the node.
+// auditor writes actions of the node to the audit log.
 type auditor interface {
-	Audit(act string, details ...wharfevents.Field)
+	Audit(action string, details ...wharfevents.Field)
 }
 
-// Server is the target side of a node.
+// Server is the target side of a node. Its exported fields are set before the first
+// call. It is safe for concurrent use.
 type Server struct {
 	View     *wharfview.View
 	Registry *Registry
-	// Backpressure is what the calls of the targets here meet.
+	// Backpressure rejects client requests while downstream calls meet queue delay.
 	Backpressure *BackpressureGuard
 	Ledger       *wharfbudget.Ledger
 	Quarantine   *wharfquarantine.List
@@ -49,8 +50,8 @@
 	Broadcaster  broadcaster
 	Auditor      auditor
 	Protocol     wharfprotocol.TargetProtocol
-	// RefusesAfterCrash says that a target which crashed refuses connections for a
-	// while, so that one which takes them has only lost an answer.
+	// RefusesAfterCrash tells that a crashed target refuses connections for a while.
+	// A target that accepts connections then has lost a response but not crashed.
 	RefusesAfterCrash bool
 	Log               wharfevents.Log
 	Metrics           wharfevents.Metrics
@@ -62,7 +63,7 @@
 	calls   atomic.Int64
 }
 
-// call is a call on its way through the filters.
+// call is the state of a call while it passes the filters.
 type call struct {
 	id          uint64
 	ctx         context.Context
@@ -74,31 +75,33 @@
 	fingerprint wharfquarantine.Fingerprint
 	target      *target
 
-	// keyed says that the call must take effect at most once under key.
+	// keyed is true if the call must run at most once, which key ensures.
 	keyed bool
 	key   wharfidempotency.KeyID
 	grant wharfbudget.GrantID
-	// dispatched says that the call has a grant in the ledger.
+	// dispatched is true once the call has a grant in the ledger.
 	dispatched bool
-	// dispatchInfo is what the target was told with the request.
+	// dispatchInfo is the information that was sent to the target with the request.
 	dispatchInfo wharfprotocol.Dispatch
-	// fromClient says that this is a request of a client, and no call made to serve one.
+	// fromClient is true for a client request, and false for a call that a service
+	// makes to serve one.
 	fromClient bool
-	// arrived says that the target received the request, or may have.
+	// arrived is true if the target has or may have received the request.
 	arrived bool
-	// downstream is what the calls that the target made for this one have met.
+	// downstream holds the results of the downstream calls that the target made for
+	// this call.
 	downstream wharfbudget.ServedCall
-	// replay is the kept answer of an earlier send.
+	// replay is the stored response to an earlier send of the request.
 	replay *wharfidempotency.Response
-	// err ends the stream of a call whose answer could not be sent whole.
+	// err ends the stream of a call whose response could not be sent completely.
 	err error
 }
 
-// filter does one job on a call. It returns the outcome that ends the call, or
-// true to pass it on.
+// filter is one step in the processing of a call. It returns true to pass the call
+// to the next filter, or false and the outcome that ends the call.
 type filter func(s *Server, c *call) (wharfoutcome.Outcome, bool)
 
-// filters lists the filters in their order.
+// filters lists the filters in the order in which a call passes them.
 var filters = []filter{
 	(*Server).checkLeaving,
 	(*Server).checkDeadline,
@@ -108,7 +111,7 @@
 	(*Server).dispatch,
 }
 
-// Call serves one call of another node.
+// Call serves one call from another node, or from this one.
 func (s *Server) Call(stream wharftransport.Stream) error {
 	frame, err := stream.Recv()
 	if err != nil {
@@ -139,8 +142,8 @@
 	return s.serve(c)
 }
 
-// serve passes the call through the filters and answers with the outcome that
-// ends it. A dispatched call has sent its answer itself.
+// serve passes the call through the filters and sends the outcome that ends it. If
+// all filters pass, dispatch has already sent the response.
 func (s *Server) serve(c *call) error {
 	for _, f := range filters {
 		o, pass := f(s, c)
@@ -148,19 +151,19 @@
 			continue
 		}
 		s.Metrics.Dispatch(c.head.GetClass(), o)
-		head := s.answerHead(c, o)
-		s.explain(c, o, head.GetLoad())
+		head := s.responseHead(c, o)
+		s.logUnserved(c, o, head.GetLoad())
 		if c.replay != nil {
 			return s.sendStored(c, head)
 		}
-		return s.sendWhole(c, head, nil)
+		return s.sendComplete(c, head, nil)
 	}
 	return c.err
 }
 
-// explain writes the line of a call that ended without the target's answer, with
-// the load that decided it.
-func (s *Server) explain(c *call, o wharfoutcome.Outcome, load *wharfwire.Load) {
+// logUnserved writes a log line for a call that ended without a response of the
+// target. The line includes the load of the target, which explains a refusal.
+func (s *Server) logUnserved(c *call, o wharfoutcome.Outcome, load *wharfwire.Load) {
 	if !s.Log.Enabled(wharfevents.CallUnserved) {
 		return
 	}
@@ -185,6 +188,7 @@
 	s.Log.Emit(wharfevents.CallUnserved, fields...)
 }
 
+// ticket returns the ticket of the call for the gate of its target.
 func (c *call) ticket(now time.Time) wharfadmission.Ticket {
 	return wharfadmission.Ticket{
 		ID:       c.id,
@@ -198,12 +202,12 @@
 	}
 }
 
-// ticketPriority returns the priority that the sender gave, within what there is.
+// ticketPriority returns the priority that the sender set, at most LevelOpen.
 func (c *call) ticketPriority() wharfadmission.Priority {
 	return wharfadmission.Priority(min(c.head.GetPriority(), uint32(wharfadmission.LevelOpen)))
 }
 
-// Calls returns the number of calls in flight.
+// Calls returns the number of calls that are being served.
 func (s *Server) Calls() int {
 	return int(s.calls.Load())
 }
--- a/wharfnode/internal/wharftarget/registry.go
+++ b/wharfnode/internal/wharftarget/registry.go
@@ -14,31 +14,40 @@
 	"ragwortwharf.dev/wharfnode/wharfsettings"
 )
 
-// target is one target of this node. Each has its own lock.
+// target is one target of this node. mu guards all fields except address and
+// monitor.
 type target struct {
 	// address identifies the target and never changes.
 	address string
 
-	mu         sync.Mutex
-	info       wharfmember.Target
-	gate       *wharfadmission.Gate
-	waiters    map[uint64]chan admission
-	inFlight   map[uint64]inFlightRequest
-	crashes    int
-	renewed    time.Time
-	leaving    bool
-	configured uint64
-	monitor    *wharfliveness.Monitor
+	mu sync.Mutex
+	// info is the last announcement of the target, and renewed is its time. A write
+	// to info needs the lock of the registry, too.
+	info wharfmember.Target
+	gate *wharfadmission.Gate
+	// waiters holds the channels for the decisions on waiting calls, and inFlight
+	// the dispatched requests, both by call id.
+	waiters  map[uint64]chan admission
+	inFlight map[uint64]inFlightRequest
+	// crashes is the number of crashes of the target that this node has seen.
+	crashes int
+	renewed time.Time
+	// leaving is true from Leave until the next announcement.
+	leaving bool
+	// reservesOffset is the offset of the configuration whose reserves the gate has.
+	reservesOffset uint64
+	monitor        *wharfliveness.Monitor
 }
 
-// inFlightRequest is a request that was dispatched to a target.
+// inFlightRequest is a request that was dispatched to a target and has not ended.
 type inFlightRequest struct {
 	fingerprint wharfquarantine.Fingerprint
-	// crashes is the number of crashes before the dispatch.
+	// crashes is the number of crashes of the target before the dispatch.
 	crashes int
 }
 
-// Registry holds the targets that announced themselves to this node.
+// Registry holds the targets that announced themselves to this node. It is safe for
+// concurrent use.
 type Registry struct {
 	variant wharfsettings.Variant
 	log     wharfevents.Log
@@ -52,7 +61,8 @@
 	return &Registry{variant: v, log: log}
 }
 
-// Renew takes an announcement, and reports whether it says anything new.
+// Renew applies an announcement of a target. It reports whether the target is new or
+// was leaving, or whether the announcement differs from the last one.
 func (g *Registry) Renew(now time.Time, info wharfmember.Target) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -77,7 +87,7 @@
 		inFlight: make(map[uint64]inFlightRequest),
 		renewed:  now,
 	}
-	t.monitor = &wharfliveness.Monitor{Address: info.Address, OnChange: func(silent bool) { g.onLivenessChange(t, silent) }}
+	t.monitor = &wharfliveness.Monitor{Address: info.Address, OnChange: func(unresponsive bool) { g.onLivenessChange(t, unresponsive) }}
 	g.targets = append(g.targets, t)
 	return true
 }
@@ -113,7 +123,9 @@
 	}
 }
 
-// Leave marks a target as leaving. It takes no new work from now on.
+// Leave marks a target as leaving and refuses the calls that wait for it. The target
+// gets no new calls until its next announcement. Leave returns false if the target is
+// unknown.
 func (g *Registry) Leave(address string) bool {
 	t := g.find(address)
 	if t == nil {
@@ -126,7 +138,8 @@
 	return true
 }
 
-// Remove drops a target once nothing of it is in flight.
+// Remove removes a target. It returns false and does nothing if the target is unknown
+// or has requests in flight.
 func (g *Registry) Remove(address string) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -146,7 +159,7 @@
 	return false
 }
 
-// Expired returns the targets that haven't renewed their announcement.
+// Expired returns the targets whose last announcement is older than timeout.
 func (g *Registry) Expired(now time.Time, timeout time.Duration) []wharfmember.Target {
 	var out []wharfmember.Target
 	for _, t := range g.all() {
@@ -159,7 +172,7 @@
 	return out
 }
 
-// Announced returns what is told to other nodes.
+// Announced returns the targets as this node announces them to other nodes.
 func (g *Registry) Announced() []wharfmember.Target {
 	var out []wharfmember.Target
 	for _, t := range g.all() {
@@ -172,7 +185,7 @@
 	return out
 }
 
-// Status is what the admin API says of a target.
+// Status is the state of a target as shown by the admin API.
 type Status struct {
 	wharfmember.Target
 	Running int `json:"running"`
@@ -199,12 +212,14 @@
 	return out
 }
 
+// all returns a copy of the list of targets.
 func (g *Registry) all() []*target {
 	g.mu.RLock()
 	defer g.mu.RUnlock()
 	return append([]*target(nil), g.targets...)
 }
 
+// find returns the target at an address, or nil.
 func (g *Registry) find(address string) *target {
 	g.mu.RLock()
 	defer g.mu.RUnlock()
@@ -216,8 +231,8 @@
 	return nil
 }
 
-// serving returns the target for a call: the one named, or any of the service
-// if none is named.
+// serving returns the target for a call: the target of the service at the address, or
+// else any target of the service. It returns nil if the service has no target here.
 func (g *Registry) serving(service, address string) *target {
 	g.mu.RLock()
 	defer g.mu.RUnlock()
--- a/wharfnode/internal/wharftarget/response.go
+++ b/wharfnode/internal/wharftarget/response.go
@@ -13,23 +13,25 @@
 	"ragwortwharf.dev/wharfnode/internal/wharftransport"
 )
 
-// errBodyShort says that a body ended before its announced length.
-var errBodyShort = errors.New("body ended early")
+// errBodyTruncated is returned for a body that is shorter than its Content-Length.
+var errBodyTruncated = errors.New("response body is shorter than its Content-Length")
 
-// answerBroken ends a call whose answer could not be sent whole. The sender
-// sees the call fail with the reason and takes nothing for complete.
-func answerBroken(reason wharfoutcome.Reason) error {
+// abortedError returns the error that ends a call whose response could not be sent
+// completely. The sender gets the reason and treats the response as incomplete.
+func abortedError(reason wharfoutcome.Reason) error {
 	return &wharftransport.AbortedError{Reason: reason}
 }
 
-// sendWhole sends an answer that is at hand as one frame.
-func (s *Server) sendWhole(c *call, head *wharfwire.AnswerHead, body []byte) error {
+// sendComplete sends a complete response as one frame.
+func (s *Server) sendComplete(c *call, head *wharfwire.AnswerHead, body []byte) error {
 	var sum wharfwire.BodySum
 	sum.Add(body)
-	return c.stream.Send(&wharfwire.AnswerFrame{Head: head, Chunk: body, End: answerEnd(&sum, c.attemptsLeft())})
+	return c.stream.Send(&wharfwire.AnswerFrame{Head: head, Chunk: body, End: responseEnd(&sum, c.attemptsLeft())})
 }
 
-func (s *Server) answerHead(c *call, o wharfoutcome.Outcome) *wharfwire.AnswerHead {
+// responseHead returns the head of the response to a call, with the outcome and the
+// load of the target.
+func (s *Server) responseHead(c *call, o wharfoutcome.Outcome) *wharfwire.AnswerHead {
 	head := &wharfwire.AnswerHead{
 		AttemptId:    c.head.GetAttemptId(),
 		Outcome:      uint32(o.Kind),
@@ -44,11 +46,11 @@
 	return head
 }
 
-func answerEnd(sum *wharfwire.BodySum, attemptsLeft int) *wharfwire.AnswerEnd {
+func responseEnd(sum *wharfwire.BodySum, attemptsLeft int) *wharfwire.AnswerEnd {
 	return &wharfwire.AnswerEnd{Body: sum.End(), AttemptsLeft: uint32(attemptsLeft)}
 }
 
-// attemptsLeft returns the attempts that the call did not use.
+// attemptsLeft returns the number of attempts that the call did not use.
 func (c *call) attemptsLeft() int {
 	if c.dispatched {
 		return c.downstream.Grant.Left()
@@ -56,67 +58,69 @@
 	return int(c.head.GetAttempts())
 }
 
-// sendStored answers a resend with the answer of the first send.
+// sendStored sends the stored response of an earlier send in response to a resend.
 func (s *Server) sendStored(c *call, head *wharfwire.AnswerHead) error {
 	head.Status = int32(c.replay.Status)
 	head.ContentLength = int64(len(c.replay.Body))
 	head.Headers = PackResponse(c.replay).GetHeaders()
-	return s.sendWhole(c, head, c.replay.Body)
+	return s.sendComplete(c, head, c.replay.Body)
 }
 
-// relay passes the answer of the target on while it comes in.
+// relay sends the response of the target to the sender while it arrives. It returns
+// true even if the response was truncated; c.err holds the error then.
 func (s *Server) relay(c *call, ctx context.Context, response *http.Response, result *wharfadmission.Result) (wharfoutcome.Outcome, bool) {
 	c.downstream, _ = s.Ledger.Get(c.grant)
-	head := s.answerHead(c, wharfoutcome.Done())
+	head := s.responseHead(c, wharfoutcome.Done())
 	head.Status = int32(response.StatusCode)
 	head.Headers = wharfwire.PackHeaders(response.Header)
 	head.ContentLength = response.ContentLength
-	kept := storedResponse{answer: wharfidempotency.Response{Status: response.StatusCode}}
+	stored := storedResponse{response: wharfidempotency.Response{Status: response.StatusCode}}
 	if c.keyed {
-		kept.answer.Headers = unpackHeaders(head.GetHeaders())
+		stored.response.Headers = unpackHeaders(head.GetHeaders())
 	}
-	p := pipe{call: c, kept: &kept, next: wharfwire.AnswerFrame{Head: head}}
+	p := pipe{call: c, stored: &stored, next: wharfwire.AnswerFrame{Head: head}}
 	readErr := p.copy(response)
-	s.settle(c)
+	s.closeGrant(c)
 	if readErr != nil {
-		o := s.brokeOff(c, ctx, p.err != nil)
+		o := s.truncationOutcome(c, ctx, p.err != nil)
 		*result = resultOf(ctx, o)
 		s.finishKey(c, o, nil)
 		s.Metrics.Dispatch(c.head.GetClass(), o)
-		c.err = answerBroken(o.Reason)
+		c.err = abortedError(o.Reason)
 		return wharfoutcome.Outcome{}, true
 	}
 	*result = wharfadmission.Answered
 	if isShed(response.StatusCode) && !c.downstream.DownstreamRefused {
 		*result = wharfadmission.Shed
 	}
-	kept.answer.Complete = !kept.over
-	s.finishKey(c, wharfoutcome.Done(), &kept.answer)
+	stored.response.Complete = !stored.tooLarge
+	s.finishKey(c, wharfoutcome.Done(), &stored.response)
 	s.recordSuccess(c)
 	s.Metrics.Dispatch(c.head.GetClass(), wharfoutcome.Done())
-	p.next.End = answerEnd(&p.sum, c.attemptsLeft())
+	p.next.End = responseEnd(&p.sum, c.attemptsLeft())
 	p.flush()
 	c.err = p.err
 	return wharfoutcome.Outcome{}, true
 }
 
-// isShed reports whether a status says that the target is overloaded.
+// isShed reports whether an HTTP status means that the target is overloaded.
 func isShed(code int) bool {
 	return code == http.StatusServiceUnavailable || code == http.StatusTooManyRequests
 }
 
-// pipe copies an answer to the sender. When the sender is lost, a keyed call
-// reads on so that the answer can be kept.
+// pipe copies a response to the sender. If the sender disconnects during a keyed call,
+// the pipe continues to read the response so that it can be stored.
 type pipe struct {
-	call *call
-	sum  wharfwire.BodySum
-	kept *storedResponse
-	// next is the frame that is sent next.
+	call   *call
+	sum    wharfwire.BodySum
+	stored *storedResponse
+	// next is the frame that flush sends.
 	next wharfwire.AnswerFrame
-	err  error
+	// err is the first error of a send. Nothing is sent after it.
+	err error
 }
 
-// flush sends the next frame.
+// flush sends the next frame and begins a new one.
 func (p *pipe) flush() {
 	if p.err == nil {
 		p.err = p.call.stream.Send(&p.next)
@@ -124,8 +128,8 @@
 	p.next = wharfwire.AnswerFrame{}
 }
 
-// copy reads the body of an answer and sends it, but for the last frame. A
-// short answer is not sent in parts.
+// copy reads the body of a response and sends all frames but the last, which stays in
+// next. A body of at most ChunkSize bytes fits in one frame.
 func (p *pipe) copy(response *http.Response) error {
 	if response.ContentLength >= 0 && response.ContentLength <= wharfwire.ChunkSize {
 		return p.copyShort(response.Body, response.ContentLength)
@@ -134,7 +138,7 @@
 	for {
 		chunk := make([]byte, wharfwire.ChunkSize)
 		n, err := io.ReadAtLeast(response.Body, chunk, 1)
-		p.hold(chunk[:n])
+		p.addChunk(chunk[:n])
 		if errors.Is(err, io.EOF) {
 			return nil
 		}
@@ -148,24 +152,25 @@
 	}
 }
 
-// copyShort reads a body of a known length. It fails if the body ends early.
+// copyShort reads a body of a known length into the next frame. It returns an error
+// if the body is shorter.
 func (p *pipe) copyShort(body io.Reader, length int64) error {
 	chunk := make([]byte, length)
 	if _, err := io.ReadFull(body, chunk); err != nil {
-		return errBodyShort
+		return errBodyTruncated
 	}
-	p.hold(chunk)
+	p.addChunk(chunk)
 	return nil
 }
 
-// hold takes a chunk into the next frame.
-func (p *pipe) hold(chunk []byte) {
+// addChunk puts a chunk of the body into the next frame.
+func (p *pipe) addChunk(chunk []byte) {
 	if len(chunk) == 0 {
 		return
 	}
 	p.sum.Add(chunk)
 	if p.call.keyed {
-		p.kept.add(chunk)
+		p.stored.add(chunk)
 	}
 	p.next.Chunk = chunk
 }
