--- a/wharfnode/main.go
+++ b/wharfnode/main.go
@@ -13,8 +13,9 @@
 	"ragwortwharf.dev/wharfnode/wharfsettings"
 )
 
-// softMemoryLimit makes the garbage collector work harder before the process
-// grows beyond what a VM sets aside for it, in bytes.
+// softMemoryLimit is the soft memory limit of the Go runtime, in bytes. Near it
+// the garbage collector runs more often, so that the process doesn't grow
+// beyond the memory that a VM reserves for it.
 const softMemoryLimit = 112 << 20
 
 func main() {
@@ -22,8 +23,8 @@
 	os.Exit(run())
 }
 
-// run parses the settings, runs the node until a signal asks it to stop, and
-// returns the exit code.
+// run parses the settings, runs the node until SIGTERM or SIGINT arrives and
+// the planned stop is done, and returns the exit code.
 func run() int {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
