--- a/wharfnode/internal/wharftest/doc.go
+++ b/wharfnode/internal/wharftest/doc.go
@@ -1,3 +1,3 @@
-// Package wharftest holds what the tests of several packages share. No program
-// imports it.
+// Package wharftest provides helpers that the tests of several packages share.
+// Programs must not import it.
 package wharftest
--- a/wharfnode/internal/wharftest/wharftest.go
+++ b/wharfnode/internal/wharftest/wharftest.go
@@ -8,31 +8,35 @@
 	"time"
 )
 
-// patience bounds the wait for something that must happen. It is far beyond
-// what is promised, because tests decide on outcomes and not on times.
-const patience = 60 * time.Second
+// timeout bounds the wait for a condition. It is far longer than any promised
+// time, because these tests check outcomes, not durations.
+const timeout = 60 * time.Second
 
-// Eventually waits until a condition holds.
-func Eventually(t *testing.T, what string, holds func() bool) {
+// Eventually polls condition every 10 ms until it holds. After timeout it fails
+// the test with the description.
+func Eventually(t *testing.T, description string, condition func() bool) {
 	t.Helper()
-	deadline := time.Now().Add(patience)
-	for !holds() {
+	deadline := time.Now().Add(timeout)
+	for !condition() {
 		if time.Now().After(deadline) {
-			t.Fatalf("never happened: %s", what)
+			t.Fatalf("never happened: %s", description)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
 }
 
-// Ports hands out addresses from a range that the system uses for nothing by
-// itself, so that none is taken between its choice and its use.
+// Ports allocates local addresses from a range outside the ephemeral ports of
+// the operating system. This keeps other sockets from taking a port between its
+// allocation and its use. It is safe for concurrent use.
 type Ports struct {
-	// First is the first port of the range; each test package has its own.
+	// First is the port before the first one of the range. Each test package
+	// has its own range.
 	First uint32
 	used  atomic.Uint32
 }
 
-// Address returns an address that nothing listens on.
+// Address returns an address on which nothing listens. It fails the test if it
+// finds none in 1000 attempts.
 func (p *Ports) Address(t *testing.T) string {
 	t.Helper()
 	for range 1000 {
