--- a/wharfnode/wharfserver/admin_test.go
+++ b/wharfnode/wharfserver/admin_test.go
@@ -18,13 +18,15 @@
 	"ragwortwharf.dev/wharfnode/wharfsettings"
 )
 
+// TestAdminContract checks status and body of each admin endpoint, for valid
+// and invalid requests.
 func TestAdminContract(t *testing.T) {
-	m := newMesh(t)
-	n := m.start("domain-a")
-	server := m.serve(n, "reads", hello)
+	c := newTestCluster(t)
+	n := c.startNode("domain-a")
+	server := c.startTarget(n, "reads", hello)
 	address := strings.TrimPrefix(server.URL, "http://")
 	id := wharfquarantine.CrashID{Target: "127.0.0.1:1", Incarnation: 3, Number: 1}
-	n.entry.Quarantine.RecordCrash(time.Now(), id, []wharfquarantine.Fingerprint{255})
+	n.proxy.Quarantine.RecordCrash(time.Now(), id, []wharfquarantine.Fingerprint{255})
 	tests := []struct {
 		name   string
 		method string
@@ -35,12 +37,12 @@
 	}{
 		{"announce", "POST", "/wharf/v1/targets", `{"service":"reads","address":"` + address + `","slots":20}`, 200, address},
 		{"announce without service", "POST", "/wharf/v1/targets", `{"address":"127.0.0.1:1","slots":1}`, 400, "service-missing"},
-		{"announce with a name for an address", "POST", "/wharf/v1/targets", `{"service":"x","address":"host:1","slots":1}`, 400, "address-syntax"},
-		{"announce no slots", "POST", "/wharf/v1/targets", `{"service":"x","address":"127.0.0.1:1","slots":0}`, 400, "slots-range"},
+		{"announce with a host name as address", "POST", "/wharf/v1/targets", `{"service":"x","address":"host:1","slots":1}`, 400, "address-syntax"},
+		{"announce zero slots", "POST", "/wharf/v1/targets", `{"service":"x","address":"127.0.0.1:1","slots":0}`, 400, "slots-range"},
 		{"announce an unknown field", "POST", "/wharf/v1/targets", `{"service":"x","port":1}`, 400, "announcement-syntax"},
 		{"announce bad labels", "POST", "/wharf/v1/targets", `{"service":"x","address":"127.0.0.1:1","slots":1,"labels":{"a b":"c"}}`, 400, "label-syntax"},
-		{"announce rubbish", "POST", "/wharf/v1/targets", `{`, 400, "announcement-syntax"},
-		{"leave without target", "DELETE", "/wharf/v1/targets?address=127.0.0.1:1", "", 404, "target-unknown"},
+		{"announce invalid JSON", "POST", "/wharf/v1/targets", `{`, 400, "announcement-syntax"},
+		{"unknown target leaves", "DELETE", "/wharf/v1/targets?address=127.0.0.1:1", "", 404, "target-unknown"},
 		{"targets", "GET", "/wharf/v1/targets", "", 200, `"slots":20`},
 		{"status", "GET", "/wharf/v1/status", "", 200, `"owned-services":["reads"]`},
 		{"members", "GET", "/wharf/v1/members", "", 200, `"failure-domain":"domain-a"`},
@@ -49,7 +51,7 @@
 		{"explain", "GET", "/wharf/v1/explain?service=reads", "", 200, `"class":"default","rank":7,"idempotent":true,"timeout-ms":5000`},
 		{"explain without service", "GET", "/wharf/v1/explain", "", 400, "service-missing"},
 		{"quarantine", "GET", "/wharf/v1/quarantine", "", 200, `"crashes":[{"target":"127.0.0.1:1","incarnation":3,"number":1,"forgiven":false}]`},
-		{"fingerprint as in the audit trail", "GET", "/wharf/v1/quarantine", "", 200, `[{"fingerprint":"ff","quarantined":false`},
+		{"fingerprint in the form of the audit trail", "GET", "/wharf/v1/quarantine", "", 200, `[{"fingerprint":"ff","quarantined":false`},
 		{"metrics", "GET", "/metrics", "", 200, "wharf_state_offset 1"},
 		{"unknown path", "GET", "/wharf/v1/nothing", "", 404, ""},
 		{"leave", "DELETE", "/wharf/v1/targets?address=" + address, "", 204, ""},
@@ -69,17 +71,17 @@
 				t.Errorf("%q is not in %s", tc.want, body)
 			}
 			if tc.status == 400 {
-				var fault struct{ Code, Message string }
-				is.NoErr(json.Unmarshal(body, &fault))
-				is.True(fault.Message != "")
+				var refusal struct{ Code, Message string }
+				is.NoErr(json.Unmarshal(body, &refusal))
+				is.True(refusal.Message != "")
 			}
 		})
 	}
 }
 
-// TestAnnouncementBeforeRun takes the announcement of a target while the node
-// starts, as the interfaces of a program that composes it may. The race detector
-// finds parts that aren't ready.
+// TestAnnouncementBeforeRun announces a target while the node starts, as a
+// program that embeds the node may do. It guards against components that are
+// used before they are ready, which the race detector reports.
 func TestAnnouncementBeforeRun(t *testing.T) {
 	settings := wharfsettings.Settings{
 		CallerListen: ports.Address(t), NodeListen: ports.Address(t), AdminListen: ports.Address(t),
@@ -102,7 +104,9 @@
 	is.NoErr(<-ended)
 }
 
-func TestDroppedLinesAreCounted(t *testing.T) {
+// TestDroppedLogLinesMetric checks that the metrics include the number of
+// dropped log lines.
+func TestDroppedLogLinesMetric(t *testing.T) {
 	n := New(wharfsettings.Settings{}.WithDefaults(), wharfevents.Log{Dropped: func() uint64 { return 7 }})
 	var text bytes.Buffer
 	n.metrics.WritePrometheus(&text)
--- a/wharfnode/wharfserver/announce.go
+++ b/wharfnode/wharfserver/announce.go
@@ -7,8 +7,8 @@
 	"ragwortwharf.dev/wharfnode/wharfevents"
 )
 
-// Renew takes the announcement of a target, and tells the other nodes if it
-// says anything new.
+// Renew processes the announcement of a target. It logs the announcement and
+// announces the target to the other nodes if the announcement changes anything.
 func (n *Node) Renew(t wharfmember.Target) {
 	if !n.registry.Renew(time.Now(), t) {
 		return
@@ -18,29 +18,29 @@
 		wharfevents.Field{Name: "target", Value: t.Address},
 		wharfevents.Field{Name: "instance", Value: t.Labels[wharfmember.LabelInstance]},
 		wharfevents.Field{Name: "slots", Value: t.Slots})
-	n.mesh.Announce()
+	n.agent.Announce()
 }
 
-// Leave makes a target take no new work from now on. It is false if the target
-// isn't known.
+// Leave stops the dispatch of new requests to a target. It reports whether the
+// target is known.
 func (n *Node) Leave(address string) bool {
 	if !n.registry.Leave(address) {
 		return false
 	}
 	target := wharfevents.Field{Name: "target", Value: address}
 	n.log.Emit(wharfevents.TargetLeaving, target)
-	n.mesh.Audit("target-leaving", target)
-	n.mesh.Announce()
+	n.agent.Audit("target-leaving", target)
+	n.agent.Announce()
 	return true
 }
 
-// HasService reports whether some route leads to a service.
+// HasService reports whether a route leads to the service.
 func (n *Node) HasService(name string) bool {
 	return n.view.State().Routes().HasService(name)
 }
 
-// Ready reports whether the node takes the requests of callers: it has a
-// configuration and isn't stopping.
+// Ready reports whether the node accepts requests of callers: it has routes and
+// isn't stopping.
 func (n *Node) Ready() bool {
 	return n.view.State().Routes() != nil && !n.stopping.Load()
 }
--- a/wharfnode/wharfserver/caller_test.go
+++ b/wharfnode/wharfserver/caller_test.go
@@ -16,12 +16,13 @@
 	"ragwortwharf.dev/wharf/wharfwire"
 )
 
-// TestCallerContract sends what callers may send wrong, and checks that each
-// gets a precise answer and the node lives on.
+// TestCallerContract sends each kind of invalid request that a caller may send.
+// It checks status and reason of the response, and that the node still serves a
+// good request afterwards.
 func TestCallerContract(t *testing.T) {
-	m := newMesh(t)
-	n := m.start("domain-a")
-	m.serve(n, "schedules", hello)
+	c := newTestCluster(t)
+	n := c.startNode("domain-a")
+	c.startTarget(n, "schedules", hello)
 	id := strings.Repeat("0", 32)
 	tests := []struct {
 		name   string
@@ -35,10 +36,10 @@
 		{"malformed context", request{service: "schedules", headers: [][2]string{{wharfwire.HeaderContext, "x"}}}, 400, "malformed-context"},
 		{"context of an ended call", request{service: "schedules", headers: [][2]string{{wharfwire.HeaderContext, "1-" + id + "-7-1-9"}}}, 503, "attempts-spent"},
 		{"negative timeout", request{service: "schedules", headers: [][2]string{{wharfwire.HeaderTimeout, "-5"}}}, 400, "malformed-timeout"},
-		{"timeout that is no number", request{service: "schedules", headers: [][2]string{{wharfwire.HeaderTimeout, "soon"}}}, 400, "malformed-timeout"},
+		{"timeout that isn't a number", request{service: "schedules", headers: [][2]string{{wharfwire.HeaderTimeout, "soon"}}}, 400, "malformed-timeout"},
 		{"oversized key", request{service: "schedules", method: "POST", key: strings.Repeat("k", 300)}, 400, "malformed-key"},
 		{"oversized header", request{service: "schedules", headers: [][2]string{{"X-Big", strings.Repeat("x", 1<<17)}}}, 431, ""},
-		{"good request after all that", request{service: "schedules"}, 200, ""},
+		{"good request after the invalid ones", request{service: "schedules"}, 200, ""},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
@@ -54,12 +55,15 @@
 	}
 }
 
-func TestBodyShorterThanItsLengthIsNotDispatched(t *testing.T) {
+// TestTruncatedRequestBodyIsNotDispatched guards against the dispatch of an
+// incomplete request. The caller closes its side of the connection after 4 of
+// 10 bytes of the body.
+func TestTruncatedRequestBodyIsNotDispatched(t *testing.T) {
 	is := is.New(t)
-	m := newMesh(t)
-	n := m.start("domain-a")
+	c := newTestCluster(t)
+	n := c.startNode("domain-a")
 	var e effects
-	m.serve(n, "schedules", func(w http.ResponseWriter, r *http.Request) {
+	c.startTarget(n, "schedules", func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		e.add("arrived")
 		hello(w, r)
@@ -78,11 +82,12 @@
 	is.Equal(e.get("arrived"), 0)
 }
 
+// TestHTTP2Caller checks that a node serves callers over unencrypted HTTP/2.
 func TestHTTP2Caller(t *testing.T) {
 	is := is.New(t)
-	m := newMesh(t)
-	n := m.start("domain-a")
-	m.serve(n, "schedules", hello)
+	c := newTestCluster(t)
+	n := c.startNode("domain-a")
+	c.startTarget(n, "schedules", hello)
 	protocols := new(http.Protocols)
 	protocols.SetUnencryptedHTTP2(true)
 	client := &http.Client{Transport: &http.Transport{Protocols: protocols, TLSClientConfig: &tls.Config{MinVersion: tls.VersionTLS13}}}
@@ -98,12 +103,12 @@
 	is.Equal(string(body), "hello")
 }
 
-// TestBodiesOfAnySize sends and receives bodies below and above what is held
-// in memory.
-func TestBodiesOfAnySize(t *testing.T) {
-	m := newMesh(t)
-	n := m.start("domain-a")
-	m.serve(n, "echo", func(w http.ResponseWriter, r *http.Request) {
+// TestBodySizes sends and receives bodies below and above the sizes of a chunk
+// and of the buffers that hold a body in memory.
+func TestBodySizes(t *testing.T) {
+	c := newTestCluster(t)
+	n := c.startNode("domain-a")
+	c.startTarget(n, "echo", func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(r.Body)
 		if err == nil {
 			_, _ = w.Write(body)
@@ -121,13 +126,15 @@
 	}
 }
 
-// TestCutAnswerNeverLooksWhole lets the target break off its answer.
-func TestCutAnswerNeverLooksWhole(t *testing.T) {
-	m := newMesh(t)
-	n := m.start("domain-a")
+// TestTruncatedResponseIsNotComplete guards against a truncated response that
+// looks complete to the caller. The target aborts its response after half of
+// the body.
+func TestTruncatedResponseIsNotComplete(t *testing.T) {
+	c := newTestCluster(t)
+	n := c.startNode("domain-a")
 	size := 0
 	known := true
-	m.serve(n, "cut", func(w http.ResponseWriter, _ *http.Request) {
+	c.startTarget(n, "cut", func(w http.ResponseWriter, _ *http.Request) {
 		if known {
 			w.Header().Set("Content-Length", fmt.Sprint(size))
 		}
@@ -150,7 +157,7 @@
 			size, known = tc.size, tc.known
 			got := n.send(request{method: "POST", service: "cut", path: fmt.Sprint(i)})
 			if got.err == nil && got.status == 200 {
-				t.Fatalf("%d of %d bytes passed as whole", len(got.body), tc.size)
+				t.Fatalf("%d of %d bytes returned as a complete response", len(got.body), tc.size)
 			}
 			if got.err == nil {
 				is.New(t).Equal(got.outcome, "unknown")
@@ -159,29 +166,30 @@
 	}
 }
 
-// TestEachCallerGetsItsOwnAnswer sends many requests at once.
-func TestEachCallerGetsItsOwnAnswer(t *testing.T) {
-	m := newMesh(t)
-	n := m.start("domain-a")
-	m.serve(n, "echo", func(w http.ResponseWriter, r *http.Request) {
+// TestEachCallerGetsItsOwnResponse guards against mixed-up responses when many
+// requests run concurrently.
+func TestEachCallerGetsItsOwnResponse(t *testing.T) {
+	c := newTestCluster(t)
+	n := c.startNode("domain-a")
+	c.startTarget(n, "echo", func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.WriteString(w, r.URL.Path)
 	})
 	const callers = 200
-	replies := make(chan string, callers)
+	mismatches := make(chan string, callers)
 	for i := range callers {
 		go func() {
 			path := fmt.Sprint("/own/", i)
 			got := n.send(request{service: "echo", path: path})
 			if got.status == 200 && got.body != path {
-				replies <- fmt.Sprintf("%s got %q", path, got.body)
+				mismatches <- fmt.Sprintf("%s got %q", path, got.body)
 				return
 			}
-			replies <- ""
+			mismatches <- ""
 		}()
 	}
 	for range callers {
-		if fault := <-replies; fault != "" {
-			t.Error(fault)
+		if mismatch := <-mismatches; mismatch != "" {
+			t.Error(mismatch)
 		}
 	}
 }
--- a/wharfnode/wharfserver/chain_test.go
+++ b/wharfnode/wharfserver/chain_test.go
@@ -16,32 +16,33 @@
 	"ragwortwharf.dev/wharfnode/internal/wharftest"
 )
 
-// TestChainOfNine sends a request through nine services that each call the
-// next. It meets no fault, so the default attempts suffice, and every hop
-// treats it as the class that the first one gave it.
-func TestChainOfNine(t *testing.T) {
+// TestChainOfNineServices sends a request through nine services that each call
+// the next one. Without faults the default attempts must suffice. The first
+// call gets its class from the rules. The later calls must keep that class,
+// although the rules assign another class to their services.
+func TestChainOfNineServices(t *testing.T) {
 	is := is.New(t)
-	m := newMesh(t)
-	m.log.publish(t, "classes",
+	c := newTestCluster(t)
+	c.log.publish(t, "classes",
 		wharfconfig.Document{Kind: wharfconfig.KindClass, Name: "high", Rank: 0},
 		wharfconfig.Document{Kind: wharfconfig.KindClass, Name: "low", Rank: 9},
 		wharfconfig.Document{Kind: wharfconfig.KindRule, Name: "first", Selector: "service=s1", Class: "high"},
 		wharfconfig.Document{Kind: wharfconfig.KindRule, Name: "others", Selector: "service!=s1", Class: "low"})
-	n := m.start("domain-a")
+	n := c.startNode("domain-a")
 	const depth = 9
 	var arrivals atomic.Int32
 	for i := 1; i <= depth; i++ {
-		m.serve(n, fmt.Sprint("s", i), func(w http.ResponseWriter, r *http.Request) {
+		c.startTarget(n, fmt.Sprint("s", i), func(w http.ResponseWriter, r *http.Request) {
 			arrivals.Add(1)
 			if i == depth {
 				hello(w, r)
 				return
 			}
-			below := n.send(request{service: fmt.Sprint("s", i+1), headers: [][2]string{
+			downstream := n.send(request{service: fmt.Sprint("s", i+1), headers: [][2]string{
 				{wharfwire.HeaderContext, r.Header.Get(wharfwire.HeaderContext)},
 			}})
-			w.WriteHeader(below.status)
-			_, _ = w.Write([]byte(below.body))
+			w.WriteHeader(downstream.status)
+			_, _ = w.Write([]byte(downstream.body))
 		})
 	}
 	wharftest.Eventually(t, "the classes are in force", func() bool { return len(n.view.Config().Classes()) == 2 })
@@ -55,35 +56,37 @@
 	is.True(!strings.Contains(metrics.String(), `wharf_dispatches_total{class="low"`))
 }
 
-// TestCancelledWorkLeaves lets callers go away while their requests run and
-// wait. The target is told of the one, and never sees the other.
-func TestCancelledWorkLeaves(t *testing.T) {
+// TestDisconnectCancelsRequests guards against requests that stay running or
+// queued after their callers disconnected. The target must see the cancellation
+// of running requests, and must never receive the queued ones.
+func TestDisconnectCancelsRequests(t *testing.T) {
 	is := is.New(t)
-	m := newMesh(t)
-	n := m.start("domain-a")
+	c := newTestCluster(t)
+	n := c.startNode("domain-a")
 	var arrivals, cancelled atomic.Int32
-	m.serve(n, "work", func(_ http.ResponseWriter, r *http.Request) {
+	c.startTarget(n, "work", func(_ http.ResponseWriter, r *http.Request) {
 		arrivals.Add(1)
 		<-r.Context().Done()
 		cancelled.Add(1)
 	})
-	const running, waiting = 4, 3 // a cold target runs four
+	const running, waiting = 4, 3 // a new target runs four requests at a time
 	status := func() wharftarget.Status { return n.target.Registry.Status()[0] }
-	leaveRunning := n.sendMany("work", running)
+	cancelRunning := n.sendMany("work", running)
 	wharftest.Eventually(t, "requests run", func() bool { return arrivals.Load() == running })
-	leaveWaiting := n.sendMany("work", waiting)
-	wharftest.Eventually(t, "requests wait", func() bool { return status().Queued == waiting })
-	leaveWaiting()
-	wharftest.Eventually(t, "the waiting ones leave", func() bool { return status().Queued == 0 })
-	leaveRunning()
-	wharftest.Eventually(t, "the running ones are cancelled", func() bool { return cancelled.Load() == running })
-	wharftest.Eventually(t, "nothing is left", func() bool {
+	cancelWaiting := n.sendMany("work", waiting)
+	wharftest.Eventually(t, "requests are queued", func() bool { return status().Queued == waiting })
+	cancelWaiting()
+	wharftest.Eventually(t, "the queued requests are cancelled", func() bool { return status().Queued == 0 })
+	cancelRunning()
+	wharftest.Eventually(t, "the running requests are cancelled", func() bool { return cancelled.Load() == running })
+	wharftest.Eventually(t, "no request is left", func() bool {
 		return n.target.Calls() == 0 && status().Running == 0 && status().Queued == 0
 	})
 	is.Equal(arrivals.Load(), int32(running))
 }
 
-// sendMany sends requests at once and returns what makes their callers leave.
+// sendMany sends count requests concurrently. The returned function disconnects
+// their callers.
 func (n *testNode) sendMany(service string, count int) context.CancelFunc {
 	ctx, cancel := context.WithCancel(context.Background())
 	for range count {
--- a/wharfnode/wharfserver/doc.go
+++ b/wharfnode/wharfserver/doc.go
@@ -1,3 +1,4 @@
-// Package wharfserver puts a node together: it makes the parts, listens on
-// their addresses, and stops them in the order that cuts off no request.
+// Package wharfserver assembles a node: it creates the components, listens on
+// their addresses, and stops them in an order that doesn't abort requests in
+// flight.
 package wharfserver
--- a/wharfnode/wharfserver/harness_test.go
+++ b/wharfnode/wharfserver/harness_test.go
@@ -26,21 +26,23 @@
 	"ragwortwharf.dev/wharfnode/wharfsettings"
 )
 
-// ports are those of this package.
+// ports allocates the addresses of this package's tests.
 var ports = wharftest.Ports{First: 11000}
 
-// faultyLog is the platform's log with troubles.
+// faultyLog is an in-memory log with injected faults.
 type faultyLog struct {
 	wharflog.Memory
 	down atomic.Bool
-	lose atomic.Int32
-	// slow delays every call, in milliseconds.
-	slow atomic.Int64
+	// lostResponses is how many of the next appends succeed but return
+	// wharfstream.ErrUncertain.
+	lostResponses atomic.Int32
+	// delayMs is the delay of every call, in milliseconds.
+	delayMs atomic.Int64
 }
 
-// trouble lets the faults act on a call.
-func (f *faultyLog) trouble() error {
-	time.Sleep(time.Duration(f.slow.Load()) * time.Millisecond)
+// injectFaults delays a call, and fails it while the log is down.
+func (f *faultyLog) injectFaults() error {
+	time.Sleep(time.Duration(f.delayMs.Load()) * time.Millisecond)
 	if f.down.Load() {
 		return wharfstream.ErrUnavailable
 	}
@@ -48,24 +50,24 @@
 }
 
 func (f *faultyLog) Append(ctx context.Context, stream string, data []byte) (uint64, error) {
-	if err := f.trouble(); err != nil {
+	if err := f.injectFaults(); err != nil {
 		return 0, err
 	}
 	offset, err := f.Memory.Append(ctx, stream, data)
-	if err == nil && f.lose.Add(-1) >= 0 {
+	if err == nil && f.lostResponses.Add(-1) >= 0 {
 		return 0, wharfstream.ErrUncertain
 	}
 	return offset, err
 }
 
 func (f *faultyLog) Read(ctx context.Context, stream string, from uint64, limit int, wait time.Duration) (wharfstream.Batch, error) {
-	if err := f.trouble(); err != nil {
+	if err := f.injectFaults(); err != nil {
 		return wharfstream.Batch{}, err
 	}
 	return f.Memory.Read(ctx, stream, from, limit, min(wait, 100*time.Millisecond))
 }
 
-// publish appends a change with documents.
+// publish appends a configuration change with documents.
 func (f *faultyLog) publish(t *testing.T, id string, documents ...wharfconfig.Document) {
 	t.Helper()
 	change := wharfconfig.Change{ID: id, Author: "test"}
@@ -81,71 +83,75 @@
 	}
 }
 
-// mesh is a log and some nodes in this process.
-type mesh struct {
+// testCluster is a log and several nodes in the test process.
+type testCluster struct {
 	t       *testing.T
 	log     *faultyLog
 	nodes   []*testNode
 	variant wharfsettings.Variant
-	// snapshotInterval is that of the nodes started from now on.
+	// snapshotInterval is the snapshot interval of nodes that are started
+	// later.
 	snapshotInterval time.Duration
 }
 
+// testNode is a node that runs in the test process.
 type testNode struct {
 	*Node
 	caller, admin string
-	// link and logLink are the ways from others to this node, and from it to
-	// the log.
+	// link carries the connections of other nodes to this node, and logLink
+	// those of this node to the log.
 	link, logLink *link
-	stop          context.CancelFunc
-	ended         chan struct{}
+	// stop starts a planned stop, and ended is closed once the node has
+	// stopped.
+	stop  context.CancelFunc
+	ended chan struct{}
 }
 
-func newMesh(t *testing.T) *mesh {
+func newTestCluster(t *testing.T) *testCluster {
 	t.Helper()
-	return &mesh{
+	return &testCluster{
 		t: t, log: &faultyLog{}, snapshotInterval: time.Hour,
 		variant: wharfsettings.Variant{Limiter: "aimd", QueueOrder: "adaptive", Levels: true, Retries: "budgeted"},
 	}
 }
 
-// start starts a node in a failure domain.
-func (m *mesh) start(domain string) *testNode {
-	m.t.Helper()
-	server := httptest.NewServer(wharflog.Handler(m.log))
-	m.t.Cleanup(server.Close)
-	logLink := newLink(m.t, strings.TrimPrefix(server.URL, "http://"))
-	listen := ports.Address(m.t)
-	nodeLink := newLink(m.t, listen)
+// startNode starts a node in a failure domain. The earlier nodes are its seeds.
+func (c *testCluster) startNode(domain string) *testNode {
+	c.t.Helper()
+	server := httptest.NewServer(wharflog.Handler(c.log))
+	c.t.Cleanup(server.Close)
+	logLink := newLink(c.t, strings.TrimPrefix(server.URL, "http://"))
+	listen := ports.Address(c.t)
+	nodeLink := newLink(c.t, listen)
 	s := wharfsettings.Settings{
-		CallerListen: ports.Address(m.t), NodeListen: listen, AdminListen: ports.Address(m.t),
+		CallerListen: ports.Address(c.t), NodeListen: listen, AdminListen: ports.Address(c.t),
 		Advertise: nodeLink.address, FailureDomain: domain, Region: "r", LogURL: "http://" + logLink.address,
-		StopTimeout: time.Minute, SnapshotInterval: m.snapshotInterval, TargetTimeout: time.Hour, Variant: m.variant,
+		StopTimeout: time.Minute, SnapshotInterval: c.snapshotInterval, TargetTimeout: time.Hour, Variant: c.variant,
 		RepeatRatio: 0.1, RepeatSlack: 64, RepeatWindow: 10 * time.Second,
 	}
-	for _, n := range m.nodes {
+	for _, n := range c.nodes {
 		s.Seeds = append(s.Seeds, n.settings.Advertise)
 	}
-	n := m.run(s, nodeLink, logLink)
-	m.nodes = append(m.nodes, n)
+	n := c.runNode(s, nodeLink, logLink)
+	c.nodes = append(c.nodes, n)
 	return n
 }
 
-// restart stops a node and starts it again at its addresses. It knows no seed.
-func (m *mesh) restart(n *testNode) *testNode {
-	m.t.Helper()
+// restart stops a node and starts it again at its addresses, without seeds.
+func (c *testCluster) restart(n *testNode) *testNode {
+	c.t.Helper()
 	n.stop()
 	<-n.ended
 	s := n.settings
 	s.Seeds = nil
-	again := m.run(s, n.link, n.logLink)
-	m.nodes[slices.Index(m.nodes, n)] = again
-	return again
+	restarted := c.runNode(s, n.link, n.logLink)
+	c.nodes[slices.Index(c.nodes, n)] = restarted
+	return restarted
 }
 
-// run runs a node until the end of the test.
-func (m *mesh) run(s wharfsettings.Settings, nodeLink, logLink *link) *testNode {
-	m.t.Helper()
+// runNode runs a node until the end of the test, and waits until it serves.
+func (c *testCluster) runNode(s wharfsettings.Settings, nodeLink, logLink *link) *testNode {
+	c.t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	n := &testNode{
 		Node: New(s.WithDefaults(), wharfevents.Log{}), stop: cancel, ended: make(chan struct{}),
@@ -154,14 +160,14 @@
 	go func() {
 		defer close(n.ended)
 		if err := n.Run(ctx); err != nil {
-			m.t.Error(err)
+			c.t.Error(err)
 		}
 	}()
-	m.t.Cleanup(func() {
+	c.t.Cleanup(func() {
 		cancel()
 		<-n.ended
 	})
-	wharftest.Eventually(m.t, "node serves", func() bool {
+	wharftest.Eventually(c.t, "node serves", func() bool {
 		r, err := http.Get(n.admin + "/wharf/v1/status")
 		if err != nil {
 			return false
@@ -172,30 +178,30 @@
 	return n
 }
 
-// announce makes a server the target of a service on a node.
-func (m *mesh) announce(n *testNode, service, address string) {
-	m.t.Helper()
+// announce announces a server to a node as a target of a service.
+func (c *testCluster) announce(n *testNode, service, address string) {
+	c.t.Helper()
 	body, _ := json.Marshal(wharfmember.Target{Service: service, Address: address, Slots: 20})
 	r, err := http.Post(n.admin+"/wharf/v1/targets", "application/json", bytes.NewReader(body))
 	if err != nil {
-		m.t.Fatal(err)
+		c.t.Fatal(err)
 	}
 	_ = r.Body.Close()
 	if r.StatusCode != http.StatusOK {
-		m.t.Fatal(r.Status)
+		c.t.Fatal(r.Status)
 	}
 }
 
-// serve starts a target on a node and waits until all nodes know it and its
-// node is a home of keys.
-func (m *mesh) serve(n *testNode, service string, handler http.HandlerFunc) *httptest.Server {
-	m.t.Helper()
+// startTarget starts a target on a node. It waits until all nodes know the
+// target and, unless the log is down, the target's node as an owner of keys.
+func (c *testCluster) startTarget(n *testNode, service string, handler http.HandlerFunc) *httptest.Server {
+	c.t.Helper()
 	server := httptest.NewServer(handler)
-	m.t.Cleanup(server.Close)
+	c.t.Cleanup(server.Close)
 	address := strings.TrimPrefix(server.URL, "http://")
-	m.announce(n, service, address)
-	wharftest.Eventually(m.t, "target is known everywhere", func() bool {
-		for _, other := range m.nodes {
+	c.announce(n, service, address)
+	wharftest.Eventually(c.t, "all nodes know the target", func() bool {
+		for _, other := range c.nodes {
 			found := false
 			for _, target := range other.view.Targets(service) {
 				found = found || target.Address == address
@@ -204,7 +210,7 @@
 			for _, o := range other.view.State().Ownership().Owners(service) {
 				owned = owned || o.Node == n.view.Node()
 			}
-			if !found || !m.log.down.Load() && !owned {
+			if !found || !c.log.down.Load() && !owned {
 				return false
 			}
 		}
@@ -213,7 +219,7 @@
 	return server
 }
 
-// reply is what a caller got.
+// reply is the response that a caller received.
 type reply struct {
 	status  int
 	outcome string
@@ -222,7 +228,7 @@
 	err     error
 }
 
-// request is what a caller sends.
+// request is a request of a caller. The default method is GET.
 type request struct {
 	method  string
 	path    string
@@ -259,7 +265,7 @@
 	}
 }
 
-// effects counts how often each key took effect.
+// effects counts how often a request with each key took effect at a target.
 type effects struct {
 	mu     sync.Mutex
 	counts map[string]int
@@ -281,7 +287,8 @@
 	return e.counts[key]
 }
 
-// book counts the effect of each key and answers with it.
+// book is a handler that counts an effect of the request's key, and responds
+// with the key and its count.
 func (e *effects) book(w http.ResponseWriter, r *http.Request) {
 	key := r.Header.Get(wharfwire.HeaderIdempotencyKey)
 	_, _ = fmt.Fprintf(w, "booked %s, effect %d", key, e.add(key))
@@ -291,15 +298,15 @@
 	_, _ = io.WriteString(w, "hello")
 }
 
-// breakOff ends the connection without an answer.
-func breakOff(w http.ResponseWriter) {
+// closeWithoutResponse closes the connection without a response.
+func closeWithoutResponse(w http.ResponseWriter) {
 	conn, _, err := http.NewResponseController(w).Hijack()
 	if err == nil {
 		_ = conn.Close()
 	}
 }
 
-// expireBefore drops the records before an offset, as retention does.
+// expireBefore deletes the records before an offset, as retention does.
 func (f *faultyLog) expireBefore(offset uint64) {
 	f.DropBefore(wharfstate.Stream, offset)
 }
--- a/wharfnode/wharfserver/idle_test.go
+++ b/wharfnode/wharfserver/idle_test.go
@@ -12,42 +12,43 @@
 	"ragwortwharf.dev/wharfnode/internal/wharftest"
 )
 
-// forgetful is a target that forgets connections which have rested for a while:
-// what comes next on them is reset.
-type forgetful struct {
-	after time.Duration
-	mu    sync.Mutex
-	used  map[net.Conn]time.Time
+// idleResetter makes a target reset a connection when a request arrives on it
+// after the connection was idle for longer than limit.
+type idleResetter struct {
+	limit     time.Duration
+	mu        sync.Mutex
+	idleSince map[net.Conn]time.Time
 }
 
-func (f *forgetful) state(c net.Conn, s http.ConnState) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
+func (r *idleResetter) onStateChange(c net.Conn, s http.ConnState) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	switch s {
 	case http.StateIdle:
-		f.used[c] = time.Now()
+		r.idleSince[c] = time.Now()
 	case http.StateActive:
-		rested, known := f.used[c]
-		if known && time.Since(rested) > f.after {
+		since, known := r.idleSince[c]
+		if known && time.Since(since) > r.limit {
 			_ = c.(*net.TCPConn).SetLinger(0)
 			_ = c.Close()
 		}
 	}
 }
 
-// TestForgottenConnectionLosesNoBooking sends requests that must not run twice so
-// far apart that the target has forgotten the connections between.
-func TestForgottenConnectionLosesNoBooking(t *testing.T) {
+// TestIdleConnectionResetLosesNoBooking guards against a failed booking on a
+// reused connection. The target resets connections that were idle for 300 ms,
+// and the requests, which must not run twice, are 400 ms apart.
+func TestIdleConnectionResetLosesNoBooking(t *testing.T) {
 	is := is.New(t)
-	m := newMesh(t)
-	n := m.start("domain-a")
-	f := &forgetful{after: 300 * time.Millisecond, used: make(map[net.Conn]time.Time)}
+	c := newTestCluster(t)
+	n := c.startNode("domain-a")
+	resetter := &idleResetter{limit: 300 * time.Millisecond, idleSince: make(map[net.Conn]time.Time)}
 	l, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", "127.0.0.1:0")
 	is.NoErr(err)
-	server := &http.Server{Handler: http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}), ConnState: f.state}
+	server := &http.Server{Handler: http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}), ConnState: resetter.onStateChange}
 	go func() { _ = server.Serve(l) }()
 	t.Cleanup(func() { _ = server.Close() })
-	m.announce(n, "book", l.Addr().String())
+	c.announce(n, "book", l.Addr().String())
 	wharftest.Eventually(t, "the target serves", func() bool {
 		return n.send(request{service: "book"}).status == http.StatusOK
 	})
--- a/wharfnode/wharfserver/link_test.go
+++ b/wharfnode/wharfserver/link_test.go
@@ -8,16 +8,18 @@
 	"testing"
 )
 
-// link passes connections on to an address, until it is cut.
+// link is a TCP proxy that forwards connections to destination. Tests interrupt
+// it to simulate network faults.
 type link struct {
-	address string
-	to      string
-	// listener is closed, and what is sent is lost, once the link is dark.
-	listener net.Listener
-	dark     atomic.Bool
+	address     string
+	destination string
+	// Once the link is blackholed, listener is closed and sent data is
+	// discarded.
+	listener   net.Listener
+	blackholed atomic.Bool
 
 	mu    sync.Mutex
-	cut   bool
+	down  bool
 	conns []net.Conn
 }
 
@@ -27,11 +29,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := &link{address: listener.Addr().String(), to: to, listener: listener}
+	l := &link{address: listener.Addr().String(), destination: to, listener: listener}
 	go l.run(listener)
 	t.Cleanup(func() {
 		_ = listener.Close()
-		l.setCut(true)
+		l.setDown(true)
 	})
 	return l
 }
@@ -42,21 +44,22 @@
 		if err != nil {
 			return
 		}
-		to, err := net.Dial("tcp", l.to)
-		if err != nil || !l.keep(from, to) {
+		to, err := net.Dial("tcp", l.destination)
+		if err != nil || !l.track(from, to) {
 			_ = from.Close()
 			continue
 		}
-		go l.pass(from, to)
-		go l.pass(to, from)
+		go l.forward(from, to)
+		go l.forward(to, from)
 	}
 }
 
-// keep remembers a pair of connections. It is false while the link is cut.
-func (l *link) keep(from, to net.Conn) bool {
+// track records a pair of connections, so that setDown can close them. It
+// reports whether the link is up; if it is down, track closes to.
+func (l *link) track(from, to net.Conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.cut {
+	if l.down {
 		_ = to.Close()
 		return false
 	}
@@ -64,36 +67,39 @@
 	return true
 }
 
-func (l *link) pass(from, to net.Conn) {
-	_, _ = io.Copy(darkWriter{to, &l.dark}, from)
+func (l *link) forward(from, to net.Conn) {
+	_, _ = io.Copy(blackholeWriter{to, &l.blackholed}, from)
 	_ = to.Close()
 	_ = from.Close()
 }
 
-// darkWriter loses what is written once the link is dark.
-type darkWriter struct {
+// blackholeWriter discards written data once the link is blackholed.
+type blackholeWriter struct {
 	io.Writer
-	dark *atomic.Bool
+	discard *atomic.Bool
 }
 
-func (w darkWriter) Write(p []byte) (int, error) {
-	if w.dark.Load() {
+func (w blackholeWriter) Write(p []byte) (int, error) {
+	if w.discard.Load() {
 		return len(p), nil
 	}
 	return w.Writer.Write(p)
 }
 
-// fallDark leaves the connections open, but nothing passes any more.
-func (l *link) fallDark() {
-	l.dark.Store(true)
+// blackhole discards all further data in both directions and refuses new
+// connections, but leaves the existing connections open.
+func (l *link) blackhole() {
+	l.blackholed.Store(true)
 	_ = l.listener.Close()
 }
 
-func (l *link) setCut(cut bool) {
+// setDown interrupts or restores the link. An interruption closes the
+// connections.
+func (l *link) setDown(down bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.cut = cut
-	if !cut {
+	l.down = down
+	if !down {
 		return
 	}
 	for _, c := range l.conns {
--- a/wharfnode/wharfserver/node.go
+++ b/wharfnode/wharfserver/node.go
@@ -30,74 +30,83 @@
 )
 
 const (
-	// maxHeaderBytes bounds the headers of a caller's request, in bytes.
+	// maxHeaderBytes bounds the headers of a request, in bytes. It and the next
+	// two bounds apply to the caller, admin and peer servers.
 	maxHeaderBytes = 64 << 10
-	// readHeaderTimeout bounds the time that a caller takes for its headers.
+	// readHeaderTimeout bounds the time that a client takes to send its
+	// headers.
 	readHeaderTimeout = 10 * time.Second
-	// idleTimeout closes the connection of a caller that sends nothing.
+	// idleTimeout is the time after which an idle connection is closed.
 	idleTimeout = 2 * time.Minute
-	// drainPoll is how often a planned stop looks for requests in flight.
+	// drainPoll is the interval at which a planned stop checks for requests in
+	// flight.
 	drainPoll = 20 * time.Millisecond
-	// propagationTime is what a planned stop gives the others to learn of it.
+	// propagationTime is how long a planned stop waits for gossip to propagate
+	// the state "left" to the other nodes.
 	propagationTime = 300 * time.Millisecond
 )
 
-// Node is one process of the system.
+// Node is one wharfnode process with all its servers and background tasks.
 type Node struct {
 	settings wharfsettings.Settings
 	log      wharfevents.Log
 	view     *wharfview.View
 	peers    *wharfpeers.Pool
-	mesh     *wharfcluster.Agent
+	agent    *wharfcluster.Agent
 	target   *wharftarget.Server
-	entry    *wharfproxy.Proxy
+	proxy    *wharfproxy.Proxy
 	caller   *http.Server
 	admin    *http.Server
 	grpc     *grpc.Server
 	metrics  wharfevents.Metrics
-	parts    Options
+	options  Options
 	registry *wharftarget.Registry
 	stopping atomic.Bool
-	// transport carries calls to other nodes, and peer serves what they send.
+	// transport sends calls to other nodes, and peer serves the calls and gRPC
+	// requests of other nodes.
 	transport *wharftransport.Client
 	peer      *http.Server
 }
 
-// nodeService joins the parts that answer other nodes.
+// nodeService implements the gRPC service Node with the cluster agent and the
+// target server.
 type nodeService struct {
 	wharfwire.UnimplementedNodeServer
 	*wharftarget.Server
-	mesh *wharfcluster.Agent
+	agent *wharfcluster.Agent
 }
 
-// Exchange answers the exchange of another node.
+// Exchange serves a gossip exchange that another node started.
 func (s nodeService) Exchange(ctx context.Context, r *wharfwire.ExchangeRequest) (*wharfwire.ExchangeResponse, error) {
-	return s.mesh.Exchange(ctx, r)
+	return s.agent.Exchange(ctx, r)
 }
 
-// Consult answers a question about a key and closes it here.
+// Consult returns this node's record of an idempotency key and closes the key
+// on this node.
 func (s nodeService) Consult(ctx context.Context, r *wharfwire.ConsultRequest) (*wharfwire.ConsultResponse, error) {
 	return s.Server.Consult(ctx, r)
 }
 
-// Suspect takes what another node knows of requests that crash targets.
+// Suspect merges another node's suspicions about requests that crash targets.
 func (s nodeService) Suspect(ctx context.Context, r *wharfwire.SuspectRequest) (*wharfwire.SuspectResponse, error) {
 	return s.Server.Suspect(ctx, r)
 }
 
-// HandOver takes the records of keys of a home that is leaving.
+// HandOver merges the key records of an owner that is leaving.
 func (s nodeService) HandOver(ctx context.Context, r *wharfwire.HandOverRequest) (*wharfwire.HandOverResponse, error) {
 	return s.Server.HandOver(ctx, r)
 }
 
-// New puts a node together. Nothing listens yet.
+// New assembles a node with the default options. The node listens only once Run
+// is called.
 func New(settings wharfsettings.Settings, log wharfevents.Log) *Node {
 	return NewWithOptions(settings, log, Options{})
 }
 
-// NewWithOptions puts a node together from parts that take the place of its own.
-func NewWithOptions(settings wharfsettings.Settings, log wharfevents.Log, parts Options) *Node {
-	parts = parts.withDefaults(settings)
+// NewWithOptions assembles a node in which the set options replace the
+// defaults.
+func NewWithOptions(settings wharfsettings.Settings, log wharfevents.Log, options Options) *Node {
+	options = options.withDefaults(settings)
 	self := wharfmember.Member{
 		Node:          settings.NodeID(),
 		Incarnation:   uint64(time.Now().UnixMilli()),
@@ -107,7 +116,7 @@
 		Region:        settings.Region,
 	}
 	n := &Node{
-		settings: settings, log: log, parts: parts, view: wharfview.New(self),
+		settings: settings, log: log, options: options, view: wharfview.New(self),
 		peers: &wharfpeers.Pool{SelfAddress: settings.Advertise, ListenAddress: settings.LocalNode()},
 	}
 	metrics := wharfevents.NewMetrics()
@@ -115,44 +124,45 @@
 	registry := wharftarget.NewRegistry(settings.Variant, log)
 	n.registry = registry
 	ledger, quarantine, keys := &wharfbudget.Ledger{}, &wharfquarantine.List{}, &wharfidempotency.KeyStore{}
-	n.mesh = &wharfcluster.Agent{
-		View: n.view, Peers: n.peers, Platform: parts.Log,
-		Registry: registry, Quarantine: quarantine, Keys: keys, Directory: parts.Directory,
-		OwnsKeys: !parts.WithoutKeys, Readers: parts.Readers, PollWait: parts.PollWait,
+	n.agent = &wharfcluster.Agent{
+		View: n.view, Peers: n.peers, Platform: options.Log,
+		Registry: registry, Quarantine: quarantine, Keys: keys, Directory: options.Directory,
+		OwnsKeys: !options.WithoutKeys, Readers: options.Readers, PollWait: options.PollWait,
 		SnapshotInterval: settings.SnapshotInterval, TargetTimeout: settings.TargetTimeout,
 		Log: log, Metrics: metrics,
 	}
-	n.mesh.Prepare()
-	pressure := &wharftarget.BackpressureGuard{Enabled: settings.Backpressure}
+	n.agent.Prepare()
+	backpressure := &wharftarget.BackpressureGuard{Enabled: settings.Backpressure}
 	n.target = &wharftarget.Server{
-		View: n.view, Registry: registry, Backpressure: pressure, Ledger: ledger, Quarantine: quarantine, Keys: keys,
-		Consulter: n.mesh, Broadcaster: n.mesh, Auditor: n.mesh, Protocol: parts.Protocol, RefusesAfterCrash: parts.RefusesAfterCrash,
+		View: n.view, Registry: registry, Backpressure: backpressure, Ledger: ledger, Quarantine: quarantine, Keys: keys,
+		Consulter: n.agent, Broadcaster: n.agent, Auditor: n.agent, Protocol: options.Protocol, RefusesAfterCrash: options.RefusesAfterCrash,
 		Log: log, Metrics: metrics,
 	}
 	n.transport = &wharftransport.Client{SelfAddress: settings.Advertise, Receiver: n.target, Log: log}
-	n.entry = &wharfproxy.Proxy{
-		View: n.view, Transport: n.transport, Backpressure: pressure, Ledger: ledger, Quarantine: quarantine, Consulter: n.mesh,
-		Protocol: parts.Protocol, RepeatLimit: settings.RepeatLimit(), Variant: settings.Variant, Log: log, Metrics: metrics,
+	n.proxy = &wharfproxy.Proxy{
+		View: n.view, Transport: n.transport, Backpressure: backpressure, Ledger: ledger, Quarantine: quarantine, Consulter: n.agent,
+		Protocol: options.Protocol, RepeatLimit: settings.RepeatLimit(), Variant: settings.Variant, Log: log, Metrics: metrics,
 	}
 	api := &wharfadmin.API{
-		View: n.view, Registry: registry, Proxy: n.entry, Ledger: ledger, Keys: keys, Quarantine: quarantine,
-		Targets: n, Auditor: n.mesh, Log: log, Metrics: metrics,
+		View: n.view, Registry: registry, Proxy: n.proxy, Ledger: ledger, Keys: keys, Quarantine: quarantine,
+		Targets: n, Auditor: n.agent, Log: log, Metrics: metrics,
 	}
-	n.caller = newHTTPServer(n.entry)
+	n.caller = newHTTPServer(n.proxy)
 	n.admin = newHTTPServer(api.Handler())
 	n.grpc = grpc.NewServer(wharfpeers.ServerOptions()...)
-	wharfwire.RegisterNodeServer(n.grpc, nodeService{Server: n.target, mesh: n.mesh})
+	wharfwire.RegisterNodeServer(n.grpc, nodeService{Server: n.target, agent: n.agent})
 	n.peer = newHTTPServer(peerHandler{calls: wharftransport.Handler{Receiver: n.target}, control: n.grpc})
-	n.publish(metrics, keys)
+	n.registerGauges(metrics, keys)
 	return n
 }
 
-// publish registers the values that are read when metrics are asked for.
-func (n *Node) publish(metrics wharfevents.Metrics, keys *wharfidempotency.KeyStore) {
+// registerGauges registers the gauges, whose values are read at each scrape of
+// the metrics.
+func (n *Node) registerGauges(metrics wharfevents.Metrics, keys *wharfidempotency.KeyStore) {
 	metrics.Gauge("wharf_state_offset", func() float64 { return float64(n.view.State().Offset()) })
 	metrics.Gauge("wharf_keys", func() float64 { return float64(keys.Len()) })
 	metrics.Gauge("wharf_key_bytes", func() float64 { return float64(keys.Bytes()) })
-	metrics.Gauge("wharf_calls_in_flight", func() float64 { return float64(n.entry.Calls()) })
+	metrics.Gauge("wharf_calls_in_flight", func() float64 { return float64(n.proxy.Calls()) })
 	if n.log.Dropped != nil {
 		metrics.Gauge("wharf_log_lines_dropped", func() float64 { return float64(n.log.Dropped()) })
 	}
@@ -172,8 +182,9 @@
 	}
 }
 
-// Run serves until the context ends, and then stops without cutting off
-// requests in flight.
+// Run serves until ctx is done. It then makes a planned stop, which lets
+// requests in flight finish within the stop timeout. It returns an error only
+// if the node can't listen on one of its addresses.
 func (n *Node) Run(ctx context.Context) error {
 	listeners, err := n.listen(ctx)
 	if err != nil {
@@ -181,50 +192,52 @@
 	}
 	var group sync.WaitGroup
 	defer group.Wait()
-	group.Go((&service{n.caller, listeners[0]}).run)
-	group.Go((&service{n.admin, listeners[1]}).run)
-	group.Go((&service{n.peer, listeners[2]}).run)
-	meshCtx, stopMesh := context.WithCancel(context.WithoutCancel(ctx))
-	defer stopMesh()
-	group.Go(func() { n.mesh.Run(meshCtx) })
+	group.Go((&listeningServer{n.caller, listeners[0]}).run)
+	group.Go((&listeningServer{n.admin, listeners[1]}).run)
+	group.Go((&listeningServer{n.peer, listeners[2]}).run)
+	agentCtx, stopAgent := context.WithCancel(context.WithoutCancel(ctx))
+	defer stopAgent()
+	group.Go(func() { n.agent.Run(agentCtx) })
 	n.log.Emit(wharfevents.NodeStarted,
 		wharfevents.Field{Name: "node", Value: n.view.Node()},
 		wharfevents.Field{Name: "callers", Value: n.settings.CallerListen},
 		wharfevents.Field{Name: "admin", Value: n.settings.AdminListen})
 	<-ctx.Done()
 	n.stop(context.WithoutCancel(ctx))
-	stopMesh()
+	stopAgent()
 	return nil
 }
 
 func (n *Node) listen(ctx context.Context) ([]net.Listener, error) {
 	var listeners []net.Listener
-	var faults []error
+	var errs []error
 	for _, address := range []string{n.settings.CallerListen, n.settings.AdminListen, n.settings.NodeListen} {
 		l, err := wharfsocket.ListenConfig().Listen(ctx, "tcp", address)
 		if err != nil {
 			n.log.Emit(wharfevents.ListenFailed, wharfevents.ErrorField(err))
-			faults = append(faults, oops.Code("listen").Wrap(err))
+			errs = append(errs, oops.Code("listen").Wrap(err))
 			continue
 		}
 		listeners = append(listeners, l)
 	}
-	if len(faults) == 0 {
+	if len(errs) == 0 {
 		return listeners, nil
 	}
 	for _, l := range listeners {
 		_ = l.Close()
 	}
-	return nil, errors.Join(faults...)
+	return nil, errors.Join(errs...)
 }
 
-// peerHandler serves what other nodes send: calls over HTTP/1.1, and gRPC.
+// peerHandler serves the requests of other nodes: calls over HTTP/1.1, and gRPC
+// over HTTP/2.
 type peerHandler struct {
 	calls   http.Handler
 	control *grpc.Server
 }
 
-// ServeHTTP tells the two by the protocol.
+// ServeHTTP passes HTTP/2 requests to the gRPC server and the others to the
+// call handler.
 func (h peerHandler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	switch {
 	case r.ProtoMajor == 2:
@@ -236,13 +249,13 @@
 	}
 }
 
-// service is a server with the address that it listens on.
-type service struct {
+// listeningServer is an HTTP server with its listener.
+type listeningServer struct {
 	server   *http.Server
 	listener net.Listener
 }
 
-// run serves until the server is shut down, which is when Serve returns.
-func (s *service) run() {
+// run serves until the server is shut down. Serve returns at that time.
+func (s *listeningServer) run() {
 	_ = s.server.Serve(s.listener)
 }
--- a/wharfnode/wharfserver/once_test.go
+++ b/wharfnode/wharfserver/once_test.go
@@ -14,37 +14,41 @@
 	"ragwortwharf.dev/wharfnode/internal/wharftest"
 )
 
-// TestResendTakesEffectOnce resends keys to every node in turn.
+// TestResendTakesEffectOnce resends bookings with a key to each node in turn.
+// It guards against a second effect, and against a key that is accepted with
+// another body.
 func TestResendTakesEffectOnce(t *testing.T) {
-	m := newMesh(t)
+	c := newTestCluster(t)
 	var e effects
 	for _, domain := range []string{"domain-a", "domain-b", "domain-c"} {
-		m.serve(m.start(domain), "bookings", e.book)
+		c.startTarget(c.startNode(domain), "bookings", e.book)
 	}
 	for _, key := range []string{"opaque-1", "opaque-2", uuid.Must(uuid.NewV7()).String()} {
 		t.Run(key, func(t *testing.T) {
 			is := is.New(t)
 			for i := range 6 {
-				got := m.nodes[i%len(m.nodes)].send(request{method: "POST", service: "bookings", key: key, body: "slot"})
+				got := c.nodes[i%len(c.nodes)].send(request{method: "POST", service: "bookings", key: key, body: "slot"})
 				is.NoErr(got.err)
 				is.Equal(got.status, 200)
 				is.Equal(got.body, "booked "+key+", effect 1")
 			}
 			is.Equal(e.get(key), 1)
-			got := m.nodes[0].send(request{method: "POST", service: "bookings", key: key, body: "another"})
+			got := c.nodes[0].send(request{method: "POST", service: "bookings", key: key, body: "another"})
 			is.Equal(got.status, 422)
 			is.Equal(got.reason, "key-mismatch")
 		})
 	}
 }
 
-func TestResendWhileRunningJoins(t *testing.T) {
+// TestResendWhileRunningSharesResponse guards against a second effect of a
+// booking that is resent while it runs. All sends must get the one response.
+func TestResendWhileRunningSharesResponse(t *testing.T) {
 	is := is.New(t)
-	m := newMesh(t)
-	n := m.start("domain-a")
+	c := newTestCluster(t)
+	n := c.startNode("domain-a")
 	var e effects
 	release := make(chan struct{})
-	m.serve(n, "bookings", func(w http.ResponseWriter, r *http.Request) {
+	c.startTarget(n, "bookings", func(w http.ResponseWriter, r *http.Request) {
 		<-release
 		e.book(w, r)
 	})
@@ -53,7 +57,7 @@
 	for range sends {
 		go func() { replies <- n.send(request{method: "POST", service: "bookings", key: "k"}) }()
 	}
-	wharftest.Eventually(t, "all sends are under way", func() bool { return n.target.Calls() == sends })
+	wharftest.Eventually(t, "all sends are in flight", func() bool { return n.target.Calls() == sends })
 	close(release)
 	for range sends {
 		got := <-replies
@@ -63,15 +67,15 @@
 	is.Equal(e.get("k"), 1)
 }
 
-// TestLostAnswerIsUnknown lets the target take the request, and break off its
-// connection instead of answering. Nothing on the way may send it again, also
-// on a connection that was used before.
-func TestLostAnswerIsUnknown(t *testing.T) {
+// TestLostResponseIsUnknown guards against a hidden resend. The target reads
+// the request and closes the connection without a response. No node and no HTTP
+// client may send the request again, even on a connection that was used before.
+func TestLostResponseIsUnknown(t *testing.T) {
 	tests := []struct {
 		name string
 		key  string
-		// resend is what a resend is told.
-		resend string
+		// resendOutcome is the outcome of a resend.
+		resendOutcome string
 	}{
 		{"key of the caller", "k", "unknown"},
 		{"no key", "", "unknown"},
@@ -79,14 +83,14 @@
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
 			is := is.New(t)
-			m := newMesh(t)
-			n := m.start("domain-a")
+			c := newTestCluster(t)
+			n := c.startNode("domain-a")
 			var arrivals atomic.Int32
-			m.serve(n, "bookings", func(w http.ResponseWriter, r *http.Request) {
+			c.startTarget(n, "bookings", func(w http.ResponseWriter, r *http.Request) {
 				_, _ = io.Copy(io.Discard, r.Body)
 				if r.URL.Path == "/lost" {
 					arrivals.Add(1)
-					breakOff(w)
+					closeWithoutResponse(w)
 				}
 			})
 			is.Equal(n.send(request{method: "POST", service: "bookings", path: "/first"}).status, 200)
@@ -98,27 +102,28 @@
 				return
 			}
 			again := n.send(request{method: "POST", service: "bookings", path: "/lost", key: tc.key})
-			is.Equal(again.outcome, tc.resend)
+			is.Equal(again.outcome, tc.resendOutcome)
 			is.Equal(arrivals.Load(), int32(1))
 		})
 	}
 }
 
-// TestHomeMovesWithJoin moves keys to a node that joins; the earlier home is
-// asked, so that nothing runs twice.
-func TestHomeMovesWithJoin(t *testing.T) {
+// TestJoinMovesOwnership moves the ownership of keys to a node that joins. It
+// guards against a second effect when the new owner doesn't consult the
+// previous one.
+func TestJoinMovesOwnership(t *testing.T) {
 	is := is.New(t)
-	m := newMesh(t)
+	c := newTestCluster(t)
 	var e effects
-	m.serve(m.start("domain-a"), "bookings", e.book)
+	c.startTarget(c.startNode("domain-a"), "bookings", e.book)
 	const keys = 20
 	send := func(i, at int) reply {
-		return m.nodes[at].send(request{method: "POST", service: "bookings", key: fmt.Sprint("key-", i)})
+		return c.nodes[at].send(request{method: "POST", service: "bookings", key: fmt.Sprint("key-", i)})
 	}
 	for i := range keys {
 		is.Equal(send(i, 0).status, 200)
 	}
-	m.serve(m.start("domain-b"), "bookings", e.book)
+	c.startTarget(c.startNode("domain-b"), "bookings", e.book)
 	for i := range keys {
 		got := send(i, i%2)
 		is.Equal(got.body, fmt.Sprintf("booked key-%d, effect 1", i))
@@ -126,40 +131,40 @@
 	}
 }
 
-// TestPlannedStopHandsKeysOver stops a home as planned; the next one answers
-// resends from the records that it was given.
+// TestPlannedStopHandsKeysOver makes a planned stop of an owner. The next owner
+// must serve resends from the key records that the stopped owner handed over.
 func TestPlannedStopHandsKeysOver(t *testing.T) {
 	is := is.New(t)
-	m := newMesh(t)
+	c := newTestCluster(t)
 	var e effects
 	for _, domain := range []string{"domain-a", "domain-b"} {
-		m.serve(m.start(domain), "bookings", e.book)
+		c.startTarget(c.startNode(domain), "bookings", e.book)
 	}
 	const keys = 20
 	for i := range keys {
-		is.Equal(m.nodes[0].send(request{method: "POST", service: "bookings", key: fmt.Sprint("key-", i)}).status, 200)
+		is.Equal(c.nodes[0].send(request{method: "POST", service: "bookings", key: fmt.Sprint("key-", i)}).status, 200)
 	}
-	m.nodes[1].stop()
-	<-m.nodes[1].ended
-	wharftest.Eventually(t, "the move is known", func() bool {
-		return len(m.nodes[0].view.State().Ownership().Owners("bookings")) == 1
+	c.nodes[1].stop()
+	<-c.nodes[1].ended
+	wharftest.Eventually(t, "the new ownership is known", func() bool {
+		return len(c.nodes[0].view.State().Ownership().Owners("bookings")) == 1
 	})
 	for i := range keys {
-		got := m.nodes[0].send(request{method: "POST", service: "bookings", key: fmt.Sprint("key-", i)})
+		got := c.nodes[0].send(request{method: "POST", service: "bookings", key: fmt.Sprint("key-", i)})
 		is.Equal(got.body, fmt.Sprintf("booked key-%d, effect 1", i))
 		is.Equal(e.get(fmt.Sprint("key-", i)), 1)
 	}
 }
 
-// TestUnsafeRequestWithoutHomeIsRefused keeps a request with a key from a
-// service whose homes aren't in the log yet.
-func TestUnsafeRequestWithoutHomeIsRefused(t *testing.T) {
+// TestKeyedRequestWithoutOwnerIsRefused guards against the dispatch of a
+// request with a key before the log has an owner of the service's keys.
+func TestKeyedRequestWithoutOwnerIsRefused(t *testing.T) {
 	is := is.New(t)
-	m := newMesh(t)
-	m.log.down.Store(true)
-	n := m.start("domain-a")
+	c := newTestCluster(t)
+	c.log.down.Store(true)
+	n := c.startNode("domain-a")
 	var e effects
-	m.serve(n, "bookings", e.book)
+	c.startTarget(n, "bookings", e.book)
 	got := n.send(request{method: "POST", service: "bookings", key: "k"})
 	is.Equal(got.status, 503)
 	is.Equal(got.outcome, "not-run")
@@ -167,33 +172,35 @@
 	is.Equal(e.get("k"), 0)
 }
 
-// TestOwnerWithoutConfirmationRunsNoKey withdraws what a home knows of the end
-// of the log, as a pause does.
+// TestOwnerWithoutConfirmationRunsNoKey guards against an owner that runs a
+// keyed request with an outdated state. The log is down, and the owner's
+// confirmation that it has read the log to the end is reset, as after a process
+// pause.
 func TestOwnerWithoutConfirmationRunsNoKey(t *testing.T) {
 	is := is.New(t)
-	m := newMesh(t)
-	n := m.start("domain-a")
+	c := newTestCluster(t)
+	n := c.startNode("domain-a")
 	var e effects
-	m.serve(n, "bookings", e.book)
-	m.log.down.Store(true)
+	c.startTarget(n, "bookings", e.book)
+	c.log.down.Store(true)
 	n.view.ResetConfirmation()
 	got := n.send(request{method: "POST", service: "bookings", key: "k"})
 	is.Equal(got.reason, "home-catching-up")
 	is.Equal(got.outcome, "not-run")
 	is.Equal(e.get("k"), 0)
-	m.log.down.Store(false)
-	wharftest.Eventually(t, "the home has caught up", func() bool {
+	c.log.down.Store(false)
+	wharftest.Eventually(t, "the owner has caught up", func() bool {
 		return n.send(request{method: "POST", service: "bookings", key: "k"}).status == 200
 	})
 	is.Equal(e.get("k"), 1)
 }
 
-// TestKeyIsPassedOn checks that the target sees the caller's key.
-func TestKeyIsPassedOn(t *testing.T) {
+// TestTargetReceivesKey checks that the target receives the caller's key.
+func TestTargetReceivesKey(t *testing.T) {
 	is := is.New(t)
-	m := newMesh(t)
-	n := m.start("domain-a")
-	m.serve(n, "bookings", func(w http.ResponseWriter, r *http.Request) {
+	c := newTestCluster(t)
+	n := c.startNode("domain-a")
+	c.startTarget(n, "bookings", func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.WriteString(w, r.Header.Get(wharfwire.HeaderIdempotencyKey))
 	})
 	is.Equal(n.send(request{method: "POST", service: "bookings", key: "k"}).body, "k")
--- a/wharfnode/wharfserver/options.go
+++ b/wharfnode/wharfserver/options.go
@@ -11,86 +11,93 @@
 	"ragwortwharf.dev/wharfnode/wharfsettings"
 )
 
-// Log is an append-only log as a node uses it. Package wharfstate says what
-// stands in its records.
+// Log is the append-only log that a node uses. Package wharfstate defines the
+// content of its records.
 type Log interface {
 	Append(ctx context.Context, stream string, data []byte) (uint64, error)
 	Read(ctx context.Context, stream string, from uint64, limit int, wait time.Duration) (wharfstream.Batch, error)
 }
 
-// Directory is where nodes find each other.
+// Directory lists the nodes that a node can join.
 type Directory interface {
 	// Seeds returns the addresses of nodes to join.
 	Seeds(ctx context.Context) ([]string, error)
-	// Enter writes down the entry of this node.
+	// Enter writes the entry of this node.
 	Enter(ctx context.Context, self wharfmember.Member) error
-	// Remove drops the entry of a node that has ended.
+	// Remove deletes the entry of a node that has ended.
 	Remove(ctx context.Context, ended wharfmember.Member) error
 }
 
-// Options take the place of a node's own. The zero Options are the node's own.
+// Options replace the defaults of a node. A zero field means the default.
 type Options struct {
-	// Protocol is how callers and targets are spoken with.
+	// Protocol is the protocol that the node uses with callers and targets. The
+	// default is wharfprotocol.Native.
 	Protocol wharfprotocol.Protocol
-	// Log holds the configuration.
+	// Log is the log that holds the configuration. The default is a client of
+	// the log at the LogURL of the settings.
 	Log Log
-	// Directory is where nodes find each other.
+	// Directory lists the nodes to join. The default returns the seeds of the
+	// settings.
 	Directory Directory
-	// WithoutKeys says that callers give no keys of their own, so that their
-	// homes need no records.
+	// WithoutKeys says that callers send no idempotency keys, so that the node
+	// needs no ownership records.
 	WithoutKeys bool
-	// RefusesAfterCrash says that a target which crashed refuses connections for a
-	// while.
+	// RefusesAfterCrash says that a target refuses connections for a while
+	// after it crashed.
 	RefusesAfterCrash bool
-	// Readers is how many nodes of a failure domain read the log.
+	// Readers is the number of nodes of a failure domain that read the log.
+	// Zero means defaultReaders.
 	Readers int
-	// PollWait is how long a read waits for records.
+	// PollWait is how long a read of the log waits for records. Zero means
+	// defaultPollWait.
 	PollWait time.Duration
-	// Linger is how long callers are served at least after a planned stop began.
+	// Linger is the minimum time for which the node still serves callers after
+	// a planned stop began.
 	Linger time.Duration
 }
 
 const (
-	// defaultReaders lets one of the readers of a failure domain fail.
+	// defaultReaders tolerates the failure of one reader of a failure domain.
 	defaultReaders = 2
-	// defaultPollWait is well below the time after which a state counts as
-	// stale.
+	// defaultPollWait is well below the time after which a node's state counts
+	// as stale.
 	defaultPollWait = time.Second
 )
 
-func (p Options) withDefaults(settings wharfsettings.Settings) Options {
-	if p.Protocol == nil {
-		p.Protocol = wharfprotocol.Native{}
+func (o Options) withDefaults(settings wharfsettings.Settings) Options {
+	if o.Protocol == nil {
+		o.Protocol = wharfprotocol.Native{}
 	}
-	if p.Log == nil {
-		p.Log = wharflog.NewClient(settings.LogURL)
+	if o.Log == nil {
+		o.Log = wharflog.NewClient(settings.LogURL)
 	}
-	if p.Directory == nil {
-		p.Directory = seeds(settings.Seeds)
+	if o.Directory == nil {
+		o.Directory = seedDirectory(settings.Seeds)
 	}
-	if p.Readers == 0 {
-		p.Readers = defaultReaders
+	if o.Readers == 0 {
+		o.Readers = defaultReaders
 	}
-	if p.PollWait == 0 {
-		p.PollWait = defaultPollWait
+	if o.PollWait == 0 {
+		o.PollWait = defaultPollWait
 	}
-	return p
+	return o
 }
 
-// seeds is the directory of a node whose settings name others.
-type seeds []string
+// seedDirectory is the directory of a node whose settings list seed nodes.
+type seedDirectory []string
 
-// Seeds returns the addresses from the settings.
-func (s seeds) Seeds(context.Context) ([]string, error) {
+// Seeds returns the addresses of the settings.
+func (s seedDirectory) Seeds(context.Context) ([]string, error) {
 	return s, nil
 }
 
-// Enter has nothing to do: the node makes itself known to the seeds.
-func (s seeds) Enter(context.Context, wharfmember.Member) error {
+// Enter does nothing, because the node announces itself to the seeds when it
+// joins.
+func (s seedDirectory) Enter(context.Context, wharfmember.Member) error {
 	return nil
 }
 
-// Remove has nothing to do.
-func (s seeds) Remove(context.Context, wharfmember.Member) error {
+// Remove does nothing, because the settings keep no entries of nodes.
+func (s seedDirectory) Remove(context.Context, wharfmember.Member) error {
 	return nil
 }
--- a/wharfnode/wharfserver/peer_test.go
+++ b/wharfnode/wharfserver/peer_test.go
@@ -19,15 +19,16 @@
 	"ragwortwharf.dev/wharfnode/internal/wharftransport"
 )
 
-// TestNodeContract calls a node as other nodes do, right and wrong.
+// TestNodeContract sends valid and invalid requests to a node, as other nodes
+// do, and checks the responses.
 func TestNodeContract(t *testing.T) {
-	m := newMesh(t)
-	n := m.start("domain-a")
-	m.serve(n, "reads", hello)
+	c := newTestCluster(t)
+	n := c.startNode("domain-a")
+	c.startTarget(n, "reads", hello)
 	var pool wharfpeers.Pool
 	t.Cleanup(pool.Close)
-	var hop wharftransport.Client
-	t.Cleanup(hop.Close)
+	var transport wharftransport.Client
+	t.Cleanup(transport.Close)
 	client, err := pool.Client(n.settings.NodeListen)
 	if err != nil {
 		t.Fatal(err)
@@ -37,8 +38,8 @@
 		change(h)
 		return h
 	}
-	var whole, other wharfwire.BodySum
-	other.Add([]byte("other"))
+	var emptyBody, otherBody wharfwire.BodySum
+	otherBody.Add([]byte("other"))
 	tests := []struct {
 		name    string
 		head    *wharfwire.CallHead
@@ -47,22 +48,22 @@
 		outcome wharfoutcome.Kind
 		reason  wharfoutcome.Reason
 	}{
-		{"good call", head(func(*wharfwire.CallHead) {}), whole.End(), false, wharfoutcome.Completed, ""},
-		{"no head", nil, whole.End(), true, 0, ""},
-		{"service without target", head(func(h *wharfwire.CallHead) { h.Service = "other" }), whole.End(), false, wharfoutcome.NotRun, "no-target"},
-		{"time is over", head(func(h *wharfwire.CallHead) { h.TimeoutMs = 0 }), whole.End(), false, wharfoutcome.NotRun, "deadline"},
-		{"sender knows more of the log", head(func(h *wharfwire.CallHead) { h.Idempotent, h.Key, h.StateOffset = false, "k", 99 }), whole.End(), false, wharfoutcome.NotRun, "home-catching-up"},
-		{"closing frame of another body", head(func(h *wharfwire.CallHead) { h.Method, h.ContentLength = "POST", 5 }), other.End(), false, wharfoutcome.Unknown, "body-incomplete"},
+		{"good call", head(func(*wharfwire.CallHead) {}), emptyBody.End(), false, wharfoutcome.Completed, ""},
+		{"no head", nil, emptyBody.End(), true, 0, ""},
+		{"service without target", head(func(h *wharfwire.CallHead) { h.Service = "other" }), emptyBody.End(), false, wharfoutcome.NotRun, "no-target"},
+		{"deadline exceeded", head(func(h *wharfwire.CallHead) { h.TimeoutMs = 0 }), emptyBody.End(), false, wharfoutcome.NotRun, "deadline"},
+		{"sender has a newer state offset", head(func(h *wharfwire.CallHead) { h.Idempotent, h.Key, h.StateOffset = false, "k", 99 }), emptyBody.End(), false, wharfoutcome.NotRun, "home-catching-up"},
+		{"checksum of another body", head(func(h *wharfwire.CallHead) { h.Method, h.ContentLength = "POST", 5 }), otherBody.End(), false, wharfoutcome.Unknown, "body-incomplete"},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
 			is := is.New(t)
 			ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 			defer cancel()
-			exchange := hop.Open(ctx, n.settings.NodeListen)
-			is.NoErr(exchange.Send(&wharfwire.CallFrame{Head: tc.head, End: tc.end}))
-			is.NoErr(exchange.CloseSend())
-			frame, err := exchange.Recv()
+			stream := transport.Open(ctx, n.settings.NodeListen)
+			is.NoErr(stream.Send(&wharfwire.CallFrame{Head: tc.head, End: tc.end}))
+			is.NoErr(stream.CloseSend())
+			frame, err := stream.Recv()
 			is.Equal(err != nil, tc.fails)
 			if tc.fails {
 				return
@@ -73,6 +74,8 @@
 			is.True(frame.GetHead().GetLoad() != nil || tc.reason == "no-target")
 		})
 	}
+	// The response to a joining node must stay small, even if the node knows
+	// many departed members.
 	t.Run("introduction", func(t *testing.T) {
 		is := is.New(t)
 		n.view.Members(func(t *wharfmember.Table) {
@@ -92,12 +95,12 @@
 	})
 	t.Run("consult", func(t *testing.T) {
 		is := is.New(t)
-		ask := &wharfwire.ConsultRequest{Service: "reads", Key: "k", Incarnation: n.view.Incarnation()}
-		r, err := client.Consult(context.Background(), ask)
+		req := &wharfwire.ConsultRequest{Service: "reads", Key: "k", Incarnation: n.view.Incarnation()}
+		r, err := client.Consult(context.Background(), req)
 		is.NoErr(err)
 		is.Equal(wharfidempotency.State(r.GetState()), wharfidempotency.Absent)
-		ask.Incarnation++
-		_, err = client.Consult(context.Background(), ask)
+		req.Incarnation++
+		_, err = client.Consult(context.Background(), req)
 		is.Equal(status.Code(err), codes.FailedPrecondition)
 	})
 }
--- a/wharfnode/wharfserver/restart_test.go
+++ b/wharfnode/wharfserver/restart_test.go
@@ -10,18 +10,19 @@
 	"ragwortwharf.dev/wharfnode/internal/wharftest"
 )
 
-// TestRestartWithoutDirectoryIsFound has a node start again that can ask nobody
-// where the others are. They have to find it, with its target.
+// TestRestartWithoutDirectoryIsFound guards against a restarted node that stays
+// unknown because it has no seeds and the log is down. The other nodes must
+// find it and its target.
 func TestRestartWithoutDirectoryIsFound(t *testing.T) {
 	is := is.New(t)
-	m := newMesh(t)
-	n, other := m.start("domain-a"), m.start("domain-b")
-	m.start("domain-a")
-	server := m.serve(n, "work", func(http.ResponseWriter, *http.Request) {})
+	c := newTestCluster(t)
+	n, other := c.startNode("domain-a"), c.startNode("domain-b")
+	c.startNode("domain-a")
+	server := c.startTarget(n, "work", func(http.ResponseWriter, *http.Request) {})
 	is.Equal(other.send(request{service: "work"}).status, http.StatusOK)
-	m.log.down.Store(true)
-	n = m.restart(n)
-	m.announce(n, "work", strings.TrimPrefix(server.URL, "http://"))
+	c.log.down.Store(true)
+	n = c.restart(n)
+	c.announce(n, "work", strings.TrimPrefix(server.URL, "http://"))
 	wharftest.Eventually(t, "the node's target serves again", func() bool {
 		return other.send(request{service: "work"}).status == http.StatusOK
 	})
--- a/wharfnode/wharfserver/silent_test.go
+++ b/wharfnode/wharfserver/silent_test.go
@@ -12,17 +12,18 @@
 	"ragwortwharf.dev/wharfnode/internal/wharftest"
 )
 
-// silentLimit is how long requests may take while a part of what serves them has
-// fallen silent: well below their deadline of some seconds, and above two tries
-// of a connection.
-const silentLimit = 2 * time.Second
+// failoverLimit bounds the duration of a request while a node or target is
+// unresponsive. It is well below the requests' deadline of some seconds, and
+// above the time of two connection probes.
+const failoverLimit = 2 * time.Second
 
-// sendThrough sends requests that may run twice for a while, and returns the
-// slowest time and how many were not served.
-func (n *testNode) sendThrough(service string, span time.Duration) (slowest time.Duration, unserved int) {
+// sendFor sends an idempotent request every 20 ms for the period. It returns
+// the longest duration of a request and the number of requests that weren't
+// served.
+func (n *testNode) sendFor(service string, period time.Duration) (slowest time.Duration, unserved int) {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
-	for end := time.Now().Add(span); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
+	for end := time.Now().Add(period); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		wg.Go(func() {
 			started := time.Now()
 			got := n.send(request{service: service})
@@ -38,51 +39,53 @@
 	return slowest, unserved
 }
 
-// TestSilentTargetIsLeft has one of two targets hang and take no connections, as
-// after a loss of power.
-func TestSilentTargetIsLeft(t *testing.T) {
+// TestUnresponsiveTargetIsAvoided guards against requests that fail or wait
+// until their deadline because one of two targets hangs and accepts no
+// connections, as after a power failure.
+func TestUnresponsiveTargetIsAvoided(t *testing.T) {
 	is := is.New(t)
-	m := newMesh(t)
-	n, other, sender := m.start("domain-a"), m.start("domain-b"), m.start("domain-c")
-	var dark atomic.Bool
+	c := newTestCluster(t)
+	n, other, sender := c.startNode("domain-a"), c.startNode("domain-b"), c.startNode("domain-c")
+	var unresponsive atomic.Bool
 	end := make(chan struct{})
 	defer close(end)
-	server := m.serve(n, "work", func(_ http.ResponseWriter, r *http.Request) {
-		if dark.Load() {
+	server := c.startTarget(n, "work", func(_ http.ResponseWriter, r *http.Request) {
+		if unresponsive.Load() {
 			select {
 			case <-r.Context().Done():
 			case <-end:
 			}
 		}
 	})
-	m.serve(other, "work", func(http.ResponseWriter, *http.Request) {})
-	_, unserved := sender.sendThrough("work", 200*time.Millisecond)
+	c.startTarget(other, "work", func(http.ResponseWriter, *http.Request) {})
+	_, unserved := sender.sendFor("work", 200*time.Millisecond)
 	is.Equal(unserved, 0)
-	dark.Store(true)
+	unresponsive.Store(true)
 	_ = server.Listener.Close()
-	slowest, unserved := sender.sendThrough("work", time.Second)
+	slowest, unserved := sender.sendFor("work", time.Second)
 	is.Equal(unserved, 0)
-	is.True(slowest < silentLimit)
+	is.True(slowest < failoverLimit)
 }
 
-// TestSilentTargetsKeptAnswer has a target fall silent after a booking with a key.
-// A resend gets the kept answer, and never hears that the booking has not run.
-func TestSilentTargetsKeptAnswer(t *testing.T) {
+// TestStoredResponseOfUnresponsiveTarget guards against a resend that is
+// reported as not run although the booking completed. The target becomes
+// unresponsive after the booking, and the resend must get the stored response.
+func TestStoredResponseOfUnresponsiveTarget(t *testing.T) {
 	is := is.New(t)
-	m := newMesh(t)
-	n, sender := m.start("domain-a"), m.start("domain-b")
-	var dark atomic.Bool
-	server := m.serve(n, "book", func(w http.ResponseWriter, r *http.Request) {
-		if dark.Load() {
+	c := newTestCluster(t)
+	n, sender := c.startNode("domain-a"), c.startNode("domain-b")
+	var unresponsive atomic.Bool
+	server := c.startTarget(n, "book", func(w http.ResponseWriter, r *http.Request) {
+		if unresponsive.Load() {
 			<-r.Context().Done()
 		}
 		_, _ = w.Write([]byte("booked"))
 	})
 	booking := request{method: http.MethodPost, service: "book", key: "k", body: "seat 1"}
 	is.Equal(sender.send(booking).body, "booked")
-	dark.Store(true)
+	unresponsive.Store(true)
 	_ = server.Listener.Close()
-	wharftest.Eventually(t, "the silence is known", func() bool {
+	wharftest.Eventually(t, "the target is known to be unresponsive", func() bool {
 		return sender.send(request{service: "book"}).reason == "target-silent"
 	})
 	got := sender.send(booking)
@@ -90,18 +93,19 @@
 	is.Equal(got.body, "booked")
 }
 
-// TestSilentNodeIsLeft has the node of one of two targets fall dark, so that
-// nothing that is sent to it is answered and no connection breaks.
-func TestSilentNodeIsLeft(t *testing.T) {
+// TestUnresponsiveNodeIsAvoided guards against requests that fail or wait until
+// their deadline because the node of one of two targets sends no responses,
+// while its connections stay open.
+func TestUnresponsiveNodeIsAvoided(t *testing.T) {
 	is := is.New(t)
-	m := newMesh(t)
-	n, other, sender := m.start("domain-a"), m.start("domain-b"), m.start("domain-c")
-	m.serve(n, "work", func(http.ResponseWriter, *http.Request) {})
-	m.serve(other, "work", func(http.ResponseWriter, *http.Request) {})
-	_, unserved := sender.sendThrough("work", 200*time.Millisecond)
+	c := newTestCluster(t)
+	n, other, sender := c.startNode("domain-a"), c.startNode("domain-b"), c.startNode("domain-c")
+	c.startTarget(n, "work", func(http.ResponseWriter, *http.Request) {})
+	c.startTarget(other, "work", func(http.ResponseWriter, *http.Request) {})
+	_, unserved := sender.sendFor("work", 200*time.Millisecond)
 	is.Equal(unserved, 0)
-	n.link.fallDark()
-	slowest, unserved := sender.sendThrough("work", time.Second)
+	n.link.blackhole()
+	slowest, unserved := sender.sendFor("work", time.Second)
 	is.Equal(unserved, 0)
-	is.True(slowest < silentLimit)
+	is.True(slowest < failoverLimit)
 }
--- a/wharfnode/wharfserver/stop.go
+++ b/wharfnode/wharfserver/stop.go
@@ -9,46 +9,47 @@
 	"ragwortwharf.dev/wharfnode/wharfevents"
 )
 
-// releaseTimeout bounds the part of a planned stop that needs the log.
-const releaseTimeout = 8 * time.Second
+// ownershipReleaseTimeout bounds the part of a planned stop that needs the log.
+const ownershipReleaseTimeout = 8 * time.Second
 
-// stop ends the node as planned. New work is refused first, so that senders go
-// elsewhere at once. Calls of the local service go on being served, because
-// requests in flight need them.
+// stop makes a planned stop. The node first refuses new requests for its
+// target, so that senders choose other targets at once. It still serves the
+// calls of the local service, because requests in flight need them.
 func (n *Node) stop(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, n.settings.StopTimeout)
 	defer cancel()
 	began := time.Now()
 	n.stopping.Store(true)
 	n.log.Emit(wharfevents.NodeStopping)
-	n.mesh.Audit("node-leaving")
+	n.agent.Audit("node-leaving")
 	n.target.SetLeaving()
-	n.mesh.UpdateSelf(func(m wharfmember.Member) wharfmember.Member { return m.WithState(wharfmember.Leaving) })
+	n.agent.UpdateSelf(func(m wharfmember.Member) wharfmember.Member { return m.WithState(wharfmember.Leaving) })
 	n.drain(ctx)
-	if !n.parts.WithoutKeys {
-		if err := n.release(ctx); err != nil {
+	if !n.options.WithoutKeys {
+		if err := n.releaseOwnership(ctx); err != nil {
 			n.log.Emit(wharfevents.HandOverFailed, wharfevents.ErrorField(err))
 		}
 	}
-	n.mesh.UpdateSelf(func(m wharfmember.Member) wharfmember.Member { return m.WithState(wharfmember.Left) })
-	// Callers learn only after a while that the node takes no new requests.
-	wharftimer.Sleep(ctx, max(propagationTime, n.parts.Linger-time.Since(began)))
+	n.agent.UpdateSelf(func(m wharfmember.Member) wharfmember.Member { return m.WithState(wharfmember.Left) })
+	// Callers notice only after a while that the node accepts no new requests.
+	wharftimer.Sleep(ctx, max(propagationTime, n.options.Linger-time.Since(began)))
 	n.shutdown(ctx)
 	n.peers.Close()
 	n.transport.Close()
 	n.log.Emit(wharfevents.NodeStopped)
 }
 
-// release gives up the ownership of keys. When the platform's log is away the
-// node doesn't wait for it: its keys are then unknown to their next homes, as
+// releaseOwnership ends this node's ownership of keys and hands the key records
+// to the next owners. If the platform's log is unavailable, the node waits at
+// most ownershipReleaseTimeout. The next owners then don't have the records, as
 // after a crash.
-func (n *Node) release(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, releaseTimeout)
+func (n *Node) releaseOwnership(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, ownershipReleaseTimeout)
 	defer cancel()
-	return n.mesh.ReleaseOwnership(ctx)
+	return n.agent.ReleaseOwnership(ctx)
 }
 
-// drain waits until the target has nothing in flight.
+// drain waits until the target has no requests in flight or ctx is done.
 func (n *Node) drain(ctx context.Context) {
 	ticker := time.NewTicker(drainPoll)
 	defer ticker.Stop()
@@ -62,7 +63,8 @@
 	}
 }
 
-// shutdown closes the listeners and waits for the callers' requests.
+// shutdown closes the listeners and waits for the callers' requests until ctx
+// is done, and closes the connections that are still open then.
 func (n *Node) shutdown(ctx context.Context) {
 	if n.caller.Shutdown(ctx) != nil {
 		n.logCutRequests()
@@ -75,9 +77,9 @@
 	n.grpc.Stop()
 }
 
-// logCutRequests reports that the stop timeout ends requests in flight.
+// logCutRequests logs that the stop timeout aborts requests in flight.
 func (n *Node) logCutRequests() {
 	n.log.Emit(wharfevents.StopCutRequests,
 		wharfevents.Field{Name: "served", Value: n.target.Calls()},
-		wharfevents.Field{Name: "calls", Value: n.entry.Calls()})
+		wharfevents.Field{Name: "calls", Value: n.proxy.Calls()})
 }
--- a/wharfnode/wharfserver/trouble_test.go
+++ b/wharfnode/wharfserver/trouble_test.go
@@ -17,59 +17,61 @@
 	"ragwortwharf.dev/wharfnode/internal/wharftest"
 )
 
-// TestFailedReadIsTriedElsewhere breaks off a read on one of two targets.
-func TestFailedReadIsTriedElsewhere(t *testing.T) {
+// TestFailedReadIsRetriedElsewhere guards against a failed read when one of two
+// targets refuses connections and the other one can serve the read.
+func TestFailedReadIsRetriedElsewhere(t *testing.T) {
 	is := is.New(t)
-	m := newMesh(t)
+	c := newTestCluster(t)
 	dead := httptest.NewServer(http.HandlerFunc(hello))
 	address := strings.TrimPrefix(dead.URL, "http://")
 	dead.Close()
-	n := m.start("domain-a")
-	m.announce(n, "reads", address)
-	m.serve(m.start("domain-a"), "reads", hello)
+	n := c.startNode("domain-a")
+	c.announce(n, "reads", address)
+	c.startTarget(c.startNode("domain-a"), "reads", hello)
 	for range 10 {
 		is.Equal(n.send(request{service: "reads"}).status, 200)
 	}
 }
 
-// TestRefusalAfterLostAnswerIsUnknown cuts off the node of one target that does
-// its work, and lets the other target refuse the second attempt. What the
-// first one did can't be called not run.
-func TestRefusalAfterLostAnswerIsUnknown(t *testing.T) {
+// TestRefusalAfterLostResponseIsUnknown guards against the outcome "not-run"
+// for a request that may have run. The first target runs it, but its node is
+// disconnected before it responds. The second target refuses the retry.
+func TestRefusalAfterLostResponseIsUnknown(t *testing.T) {
 	is := is.New(t)
-	m := newMesh(t)
-	far := m.start("domain-b")
+	c := newTestCluster(t)
+	sender := c.startNode("domain-b")
 	var arrivals atomic.Int32
 	for range 2 {
-		n := m.start("domain-a")
-		m.serve(n, "reads", func(w http.ResponseWriter, _ *http.Request) {
+		n := c.startNode("domain-a")
+		c.startTarget(n, "reads", func(w http.ResponseWriter, _ *http.Request) {
 			if arrivals.Add(1) == 1 {
-				n.link.setCut(true)
+				n.link.setDown(true)
 				return
 			}
 			w.Header().Set(wharfwire.HeaderOutcome, "not-run")
 			w.WriteHeader(http.StatusServiceUnavailable)
 		})
 	}
-	got := far.send(request{service: "reads"})
+	got := sender.send(request{service: "reads"})
 	is.Equal(arrivals.Load(), int32(2))
 	is.Equal(got.outcome, "unknown")
 }
 
-// TestAttemptsStayBoundedOverChain lets the last of three services refuse
-// everything, while each hop retries what it may.
+// TestAttemptsStayBoundedOverChain guards against retries that multiply over a
+// chain of services. The last of three services refuses every request, and each
+// node retries as often as the request's attempts allow.
 func TestAttemptsStayBoundedOverChain(t *testing.T) {
 	is := is.New(t)
-	m := newMesh(t)
+	c := newTestCluster(t)
 	const attempts = 10
 	limit := attempts
-	m.log.publish(t, "c", wharfconfig.Document{Kind: wharfconfig.KindDefaults, Name: wharfconfig.DefaultsName, Attempts: &limit})
+	c.log.publish(t, "c", wharfconfig.Document{Kind: wharfconfig.KindDefaults, Name: wharfconfig.DefaultsName, Attempts: &limit})
 	var arrivals atomic.Int32
 	chain := []string{"front", "middle", "deep"}
 	for range 2 {
 		for i, service := range chain {
-			n := m.start("domain-a")
-			m.serve(n, service, func(w http.ResponseWriter, r *http.Request) {
+			n := c.startNode("domain-a")
+			c.startTarget(n, service, func(w http.ResponseWriter, r *http.Request) {
 				arrivals.Add(1)
 				if i+1 == len(chain) {
 					w.Header().Set(wharfwire.HeaderOutcome, "not-run")
@@ -77,12 +79,13 @@
 					w.WriteHeader(http.StatusServiceUnavailable)
 					return
 				}
-				// An impatient service calls on several times by itself.
+				// The service repeats its failed calls, as a client with its
+				// own retries does.
 				for range 20 {
-					below := n.send(request{service: chain[i+1], headers: [][2]string{
+					downstream := n.send(request{service: chain[i+1], headers: [][2]string{
 						{wharfwire.HeaderContext, r.Header.Get(wharfwire.HeaderContext)},
 					}})
-					if below.status == 200 {
+					if downstream.status == 200 {
 						return
 					}
 				}
@@ -90,22 +93,24 @@
 			})
 		}
 	}
-	wharftest.Eventually(t, "the configuration is in force", func() bool { return m.nodes[0].view.Config().Offset() > 0 })
-	got := m.nodes[0].send(request{service: "front"})
+	wharftest.Eventually(t, "the configuration is in force", func() bool { return c.nodes[0].view.Config().Offset() > 0 })
+	got := c.nodes[0].send(request{service: "front"})
 	is.True(got.status != 200)
 	is.True(arrivals.Load() > 2)
 	is.True(arrivals.Load() <= attempts)
 }
 
-// TestLeavingTargetGetsNoNewWork tells a target to leave in each of the ways,
-// while a request is in flight there.
-func TestLeavingTargetGetsNoNewWork(t *testing.T) {
+// TestLeavingTargetGetsNoNewRequests makes a target leave in each possible way
+// while a request is in flight there. It guards against new requests that reach
+// the target after the others know that it leaves, and against an abort of the
+// one in flight.
+func TestLeavingTargetGetsNoNewRequests(t *testing.T) {
 	leave := true
 	tests := []struct {
-		name string
-		tell func(t *testing.T, m *mesh, n *testNode, address string)
+		name         string
+		startLeaving func(t *testing.T, c *testCluster, n *testNode, address string)
 	}{
-		{"its own word", func(t *testing.T, _ *mesh, n *testNode, address string) {
+		{"request to its node", func(t *testing.T, _ *testCluster, n *testNode, address string) {
 			r, _ := http.NewRequest(http.MethodDelete, n.admin+"/wharf/v1/targets?address="+address, http.NoBody)
 			response, err := http.DefaultClient.Do(r)
 			if err != nil {
@@ -113,24 +118,24 @@
 			}
 			_ = response.Body.Close()
 		}},
-		{"label and selector", func(t *testing.T, m *mesh, _ *testNode, address string) {
-			m.log.publish(t, "leave",
+		{"label and selector", func(t *testing.T, c *testCluster, _ *testNode, address string) {
+			c.log.publish(t, "leave",
 				wharfconfig.Document{Kind: wharfconfig.KindTargetRule, Name: "out", Selector: "state=out", Leaving: &leave},
 				wharfconfig.Document{Kind: wharfconfig.KindTargetLabel, Name: address, Target: address, Labels: map[string]string{"state": "out"}})
 		}},
-		{"planned stop of its node", func(_ *testing.T, _ *mesh, n *testNode, _ string) { n.stop() }},
+		{"planned stop of its node", func(_ *testing.T, _ *testCluster, n *testNode, _ string) { n.stop() }},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
 			is := is.New(t)
-			m := newMesh(t)
-			stays, leaves := m.start("domain-a"), m.start("domain-a")
+			c := newTestCluster(t)
+			staying, leaving := c.startNode("domain-a"), c.startNode("domain-a")
 			entered, release := make(chan struct{}), make(chan struct{})
-			var late atomic.Int32
-			var told atomic.Bool
-			server := m.serve(leaves, "reads", func(w http.ResponseWriter, _ *http.Request) {
-				if told.Load() {
-					late.Add(1)
+			var lateArrivals atomic.Int32
+			var announcedLeaving atomic.Bool
+			server := c.startTarget(leaving, "reads", func(w http.ResponseWriter, _ *http.Request) {
+				if announcedLeaving.Load() {
+					lateArrivals.Add(1)
 				}
 				select {
 				case entered <- struct{}{}:
@@ -140,87 +145,94 @@
 				_, _ = io.WriteString(w, "from the leaving one")
 			})
 			done := make(chan reply)
-			go func() { done <- stays.send(request{service: "reads"}) }()
+			go func() { done <- staying.send(request{service: "reads"}) }()
 			<-entered
-			m.serve(stays, "reads", hello)
+			c.startTarget(staying, "reads", hello)
 			address := strings.TrimPrefix(server.URL, "http://")
-			tc.tell(t, m, leaves, address)
-			wharftest.Eventually(t, "the others know", func() bool {
-				for _, target := range stays.view.Targets("reads") {
+			tc.startLeaving(t, c, leaving, address)
+			wharftest.Eventually(t, "the other node knows", func() bool {
+				for _, target := range staying.view.Targets("reads") {
 					if target.Address == address {
 						return target.Leaving
 					}
 				}
 				return true
 			})
-			told.Store(true)
+			announcedLeaving.Store(true)
 			for range 20 {
-				is.Equal(stays.send(request{service: "reads"}).body, "hello")
+				is.Equal(staying.send(request{service: "reads"}).body, "hello")
 			}
-			is.Equal(late.Load(), int32(0))
+			is.Equal(lateArrivals.Load(), int32(0))
 			close(release)
-			is.Equal((<-done).body, "from the leaving one") // nothing in flight was cut
+			is.Equal((<-done).body, "from the leaving one") // the request in flight was not aborted
 		})
 	}
 }
 
-func TestPlannedStopCutsNoCall(t *testing.T) {
+// TestPlannedStopAbortsNoCall guards against a planned stop that aborts the
+// calls of callers that are connected to the stopped node.
+func TestPlannedStopAbortsNoCall(t *testing.T) {
 	is := is.New(t)
-	m := newMesh(t)
-	first, second := m.start("domain-a"), m.start("domain-a")
-	m.serve(second, "reads", func(w http.ResponseWriter, r *http.Request) {
+	c := newTestCluster(t)
+	first, second := c.startNode("domain-a"), c.startNode("domain-a")
+	c.startTarget(second, "reads", func(w http.ResponseWriter, r *http.Request) {
 		time.Sleep(200 * time.Millisecond)
 		hello(w, r)
 	})
-	const calls = 4 // as many as a cold target runs
+	const calls = 4 // as many as a new target runs at a time
 	replies := make(chan reply, calls)
 	for range calls {
 		go func() { replies <- first.send(request{service: "reads"}) }()
 	}
-	wharftest.Eventually(t, "calls are under way", func() bool { return first.entry.Calls() == calls })
-	first.stop() // the node that the callers are connected to
+	wharftest.Eventually(t, "calls are in flight", func() bool { return first.proxy.Calls() == calls })
+	first.stop() // the callers are connected to this node
 	for range calls {
 		is.Equal((<-replies).body, "hello")
 	}
 	<-first.ended
 }
 
+// TestConfigurationReachesEachDomain guards against a configuration change that
+// some nodes miss because of a disruption of the log or of a node that reads
+// the log.
 func TestConfigurationReachesEachDomain(t *testing.T) {
 	class := func(name string, rank int) wharfconfig.Document {
 		return wharfconfig.Document{Kind: wharfconfig.KindClass, Name: name, Rank: rank}
 	}
 	tests := []struct {
 		name    string
-		trouble func(m *mesh)
-		heal    func(m *mesh)
+		disrupt func(c *testCluster)
+		restore func(c *testCluster)
 	}{
-		{"no trouble", func(*mesh) {}, func(*mesh) {}},
-		{"log down before and after", func(m *mesh) { m.log.down.Store(true) }, func(m *mesh) { m.log.down.Store(false) }},
-		{"log slow", func(m *mesh) { m.log.slow.Store(700) }, func(*mesh) {}},
-		{"a reader stops", func(m *mesh) {
-			m.nodes[0].stop()
-			<-m.nodes[0].ended
-			m.nodes = m.nodes[1:]
-		}, func(*mesh) {}},
+		{"no disruption", func(*testCluster) {}, func(*testCluster) {}},
+		{"log down when the change is appended", func(c *testCluster) { c.log.down.Store(true) }, func(c *testCluster) { c.log.down.Store(false) }},
+		{"log slow", func(c *testCluster) { c.log.delayMs.Store(700) }, func(*testCluster) {}},
+		{"a reader stops", func(c *testCluster) {
+			c.nodes[0].stop()
+			<-c.nodes[0].ended
+			c.nodes = c.nodes[1:]
+		}, func(*testCluster) {}},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
-			m := newMesh(t)
+			c := newTestCluster(t)
 			for _, domain := range []string{"domain-a", "domain-a", "domain-a", "domain-b", "domain-b", "domain-b"} {
-				m.start(domain)
+				c.startNode(domain)
 			}
-			m.log.publish(t, "first", class("one", 1))
-			wharftest.Eventually(t, "the first change is in force everywhere", func() bool { return everywhere(m, "one", 1) })
-			tc.trouble(m)
-			m.log.publish(t, "second", class("two", 2))
-			tc.heal(m)
-			wharftest.Eventually(t, "the second change is in force everywhere", func() bool { return everywhere(m, "two", 2) })
+			c.log.publish(t, "first", class("one", 1))
+			wharftest.Eventually(t, "the first change is in force everywhere", func() bool { return allNodesHaveClass(c, "one", 1) })
+			tc.disrupt(c)
+			c.log.publish(t, "second", class("two", 2))
+			tc.restore(c)
+			wharftest.Eventually(t, "the second change is in force everywhere", func() bool { return allNodesHaveClass(c, "two", 2) })
 		})
 	}
 }
 
-func everywhere(m *mesh, class string, rank int) bool {
-	for _, n := range m.nodes {
+// allNodesHaveClass reports whether the configuration of every node gives the
+// class this rank.
+func allNodesHaveClass(c *testCluster, class string, rank int) bool {
+	for _, n := range c.nodes {
 		if n.view.Config().Class(class).Rank != rank {
 			return false
 		}
@@ -228,65 +240,68 @@
 	return true
 }
 
-// TestNodeStartsWithLogDown starts a node that can learn everything from its
-// neighbours only, and serves through it.
+// TestNodeStartsWithLogDown starts a node while the log is down. The node must
+// get its state from the other nodes, and serve callers.
 func TestNodeStartsWithLogDown(t *testing.T) {
 	is := is.New(t)
-	m := newMesh(t)
-	m.serve(m.start("domain-a"), "reads", hello)
-	m.log.publish(t, "first", wharfconfig.Document{Kind: wharfconfig.KindClass, Name: "one", Rank: 1})
-	wharftest.Eventually(t, "the change is in force", func() bool { return everywhere(m, "one", 1) })
-	m.log.down.Store(true)
-	late := m.start("domain-b")
-	wharftest.Eventually(t, "the late node has the state", func() bool { return everywhere(m, "one", 1) })
-	wharftest.Eventually(t, "the late node serves", func() bool { return late.send(request{service: "reads"}).status == 200 })
-	is.Equal(late.view.State().Offset(), m.nodes[0].view.State().Offset())
+	c := newTestCluster(t)
+	c.startTarget(c.startNode("domain-a"), "reads", hello)
+	c.log.publish(t, "first", wharfconfig.Document{Kind: wharfconfig.KindClass, Name: "one", Rank: 1})
+	wharftest.Eventually(t, "the change is in force", func() bool { return allNodesHaveClass(c, "one", 1) })
+	c.log.down.Store(true)
+	joiner := c.startNode("domain-b")
+	wharftest.Eventually(t, "the new node has the state", func() bool { return allNodesHaveClass(c, "one", 1) })
+	wharftest.Eventually(t, "the new node serves", func() bool { return joiner.send(request{service: "reads"}).status == 200 })
+	is.Equal(joiner.view.State().Offset(), c.nodes[0].view.State().Offset())
 }
 
-// TestSnapshotOutlivesRetention lets all records but a snapshot expire, and
-// starts a node that knows no other.
-func TestSnapshotOutlivesRetention(t *testing.T) {
+// TestStateSurvivesLogRetention guards against the loss of state whose log
+// records have expired. All records before a snapshot expire, and a node
+// without seeds must restore the state from the snapshot.
+func TestStateSurvivesLogRetention(t *testing.T) {
 	is := is.New(t)
-	m := newMesh(t)
-	m.snapshotInterval = time.Second
-	n := m.start("domain-a")
-	m.log.publish(t, "first", wharfconfig.Document{Kind: wharfconfig.KindClass, Name: "one", Rank: 1})
+	c := newTestCluster(t)
+	c.snapshotInterval = time.Second
+	n := c.startNode("domain-a")
+	c.log.publish(t, "first", wharfconfig.Document{Kind: wharfconfig.KindClass, Name: "one", Rank: 1})
 	wharftest.Eventually(t, "a snapshot is in the log", func() bool { return n.view.State().SnapshotOffset() > 0 })
 	n.stop()
 	<-n.ended
-	m.nodes = nil
-	m.log.expireBefore(n.view.State().SnapshotOffset())
-	fresh := m.start("domain-a")
-	wharftest.Eventually(t, "the state is there", func() bool { return everywhere(m, "one", 1) })
-	is.True(fresh.view.State().Offset() >= 1)
+	c.nodes = nil
+	c.log.expireBefore(n.view.State().SnapshotOffset())
+	restored := c.startNode("domain-a")
+	wharftest.Eventually(t, "the new node has the state", func() bool { return allNodesHaveClass(c, "one", 1) })
+	is.True(restored.view.State().Offset() >= 1)
 }
 
-// TestLostAnswerOfAppend loses the answers to announcements of ownership.
-func TestLostAnswerOfAppend(t *testing.T) {
+// TestLostAppendResponse guards against a node that never owns keys because the
+// response to its ownership record was lost. The append itself succeeded.
+func TestLostAppendResponse(t *testing.T) {
 	is := is.New(t)
-	m := newMesh(t)
-	m.log.lose.Store(1)
-	n := m.start("domain-a")
+	c := newTestCluster(t)
+	c.log.lostResponses.Store(1)
+	n := c.startNode("domain-a")
 	var e effects
-	m.serve(n, "bookings", e.book)
+	c.startTarget(n, "bookings", e.book)
 	is.Equal(n.send(request{method: "POST", service: "bookings", key: "k"}).status, 200)
 	is.Equal(len(n.view.State().Ownership().Owners("bookings")), 1)
 }
 
-// TestOverloadShedsTheLeastImportant fills a target with work of a low class
-// and sends work of a high one.
-func TestOverloadShedsTheLeastImportant(t *testing.T) {
+// TestOverloadShedsLowestClass fills a target and its queue with requests of a
+// low class and then sends requests of a high class. Requests of the low class
+// must be refused, and all of the high class served.
+func TestOverloadShedsLowestClass(t *testing.T) {
 	is := is.New(t)
-	m := newMesh(t)
-	m.log.publish(t, "classes",
+	c := newTestCluster(t)
+	c.log.publish(t, "classes",
 		wharfconfig.Document{Kind: wharfconfig.KindClass, Name: "high", Rank: 0},
 		wharfconfig.Document{Kind: wharfconfig.KindClass, Name: "low", Rank: 9},
 		wharfconfig.Document{Kind: wharfconfig.KindService, Name: "work"},
 		wharfconfig.Document{Kind: wharfconfig.KindRule, Name: "high", Selector: "service=work,method=GET", Class: "high"},
 		wharfconfig.Document{Kind: wharfconfig.KindRule, Name: "low", Selector: "service=work,method=HEAD", Class: "low"})
-	n := m.start("domain-a")
+	n := c.startNode("domain-a")
 	release := make(chan struct{})
-	m.serve(n, "work", func(w http.ResponseWriter, r *http.Request) {
+	c.startTarget(n, "work", func(w http.ResponseWriter, r *http.Request) {
 		<-release
 		hello(w, r)
 	})
@@ -296,11 +311,11 @@
 	for i := range lows {
 		go func() { low <- n.send(request{method: "HEAD", service: "work", path: fmt.Sprint(i)}) }()
 	}
-	wharftest.Eventually(t, "some low work is refused", func() bool { return len(low) > 0 })
+	wharftest.Eventually(t, "a request of the low class is refused", func() bool { return len(low) > 0 })
 	for i := range highs {
 		go func() { high <- n.send(request{service: "work", path: fmt.Sprint(i)}) }()
 	}
-	wharftest.Eventually(t, "high work waits", func() bool { return n.entry.Calls() >= highs })
+	wharftest.Eventually(t, "requests of the high class are in flight", func() bool { return n.proxy.Calls() >= highs })
 	close(release)
 	for range highs {
 		is.Equal((<-high).status, 200)
--- a/wharfnode/wharfserver/wait_test.go
+++ b/wharfnode/wharfserver/wait_test.go
@@ -11,24 +11,25 @@
 	"ragwortwharf.dev/wharfnode/internal/wharftest"
 )
 
-// TestTimeOverInTheQueueIsNotRun has a request run out of time while it waits.
-// Its caller must hear that it has not run, at whichever node it waits.
-func TestTimeOverInTheQueueIsNotRun(t *testing.T) {
+// TestDeadlineExceededInQueueIsNotRun guards against an uncertain outcome of
+// requests whose deadline passes while they are queued. The outcome must be
+// "not-run", whether the caller sends to the target's node or to another one.
+func TestDeadlineExceededInQueueIsNotRun(t *testing.T) {
 	is := is.New(t)
-	m := newMesh(t)
-	n, other := m.start("domain-a"), m.start("domain-b")
+	c := newTestCluster(t)
+	n, other := c.startNode("domain-a"), c.startNode("domain-b")
 	var arrivals atomic.Int32
-	m.serve(n, "work", func(_ http.ResponseWriter, r *http.Request) {
+	c.startTarget(n, "work", func(_ http.ResponseWriter, r *http.Request) {
 		arrivals.Add(1)
 		<-r.Context().Done()
 	})
-	const running = 4 // a cold target runs four
-	leave := n.sendMany("work", running)
-	defer leave()
+	const running = 4 // a new target runs four requests at a time
+	disconnect := n.sendMany("work", running)
+	defer disconnect()
 	wharftest.Eventually(t, "requests run", func() bool { return arrivals.Load() == running })
-	for _, entry := range []*testNode{n, other} {
+	for _, sender := range []*testNode{n, other} {
 		for range 5 {
-			got := entry.send(request{method: http.MethodPost, service: "work", headers: [][2]string{{wharfwire.HeaderTimeout, "100"}}})
+			got := sender.send(request{method: http.MethodPost, service: "work", headers: [][2]string{{wharfwire.HeaderTimeout, "100"}}})
 			is.NoErr(got.err)
 			is.Equal(got.outcome, "not-run")
 			is.Equal(got.reason, "deadline")
