--- a/wharfnode/internal/wharfprocess/cluster_test.go
+++ b/wharfnode/internal/wharfprocess/cluster_test.go
@@ -21,10 +21,10 @@
 	"ragwortwharf.dev/wharfnode/internal/wharftest"
 )
 
-// ports are those of this package.
+// ports allocates the addresses of this package's tests.
 var ports = wharftest.Ports{First: 15000}
 
-// process is a program that was started, and can be started again.
+// process is a program that runs as a child process and can be started again.
 type process struct {
 	t       *testing.T
 	program string
@@ -68,14 +68,15 @@
 	p.cmd, p.ended = cmd, ended
 	p.mu.Unlock()
 	go func() {
-		// The exit code of a process that was killed says nothing.
+		// The exit status is ignored, because tests kill the process on
+		// purpose.
 		_ = cmd.Wait()
 		close(ended)
 	}()
 }
 
 func (p *process) signal(s syscall.Signal) {
-	// A process that has ended already can't be signalled.
+	// The error is ignored, because the process may have ended already.
 	_ = p.cmd.Process.Signal(s)
 }
 
@@ -89,14 +90,14 @@
 	p.start()
 }
 
-// vm is a node with its target.
+// vm is a node and its target, as two processes.
 type vm struct {
-	node, target          *process
-	id                    string
-	caller, admin, worker string
+	node, target                   *process
+	id                             string
+	callerURL, adminURL, targetURL string
 }
 
-// cluster is a log and some VMs as processes.
+// cluster is a log and several VMs, all as processes.
 type cluster struct {
 	t      *testing.T
 	logURL string
@@ -109,11 +110,11 @@
 	address := ports.Address(t)
 	c := &cluster{t: t, logURL: "http://" + address}
 	startProcess(t, "wharfstandin", "log", "--listen", address)
-	c.await(address)
+	c.awaitListening(address)
 	return c
 }
 
-func (c *cluster) await(address string) {
+func (c *cluster) awaitListening(address string) {
 	c.t.Helper()
 	wharftest.Eventually(c.t, address+" listens", func() bool {
 		conn, err := net.Dial("tcp", address)
@@ -127,7 +128,7 @@
 
 func (c *cluster) startVM(domain, service string, targetArgs ...string) *vm {
 	c.t.Helper()
-	caller, node, admin, worker := ports.Address(c.t), ports.Address(c.t), ports.Address(c.t), ports.Address(c.t)
+	caller, node, admin, targetAddress := ports.Address(c.t), ports.Address(c.t), ports.Address(c.t), ports.Address(c.t)
 	args := []string{
 		"--caller-listen", caller, "--node-listen", node, "--admin-listen", admin,
 		"--failure-domain", domain, "--log-url", c.logURL, "--stop-timeout", "20s",
@@ -135,37 +136,38 @@
 	if len(c.seeds) > 0 {
 		args = append(args, "--seeds", strings.Join(c.seeds, ","))
 	}
-	v := &vm{id: domain + "/" + node, caller: "http://" + caller, admin: "http://" + admin, worker: "http://" + worker}
+	v := &vm{id: domain + "/" + node, callerURL: "http://" + caller, adminURL: "http://" + admin, targetURL: "http://" + targetAddress}
 	v.node = startProcess(c.t, "wharfnode", args...)
-	c.await(admin)
+	c.awaitListening(admin)
 	v.target = startProcess(c.t, "wharfstandin", append([]string{
-		"target", "--listen", worker, "--service", service, "--node-admin", v.admin, "--node-caller", v.caller,
+		"target", "--listen", targetAddress, "--service", service, "--node-admin", v.adminURL, "--node-caller", v.callerURL,
 	}, targetArgs...)...)
 	c.seeds = append(c.seeds, node)
 	c.vms = append(c.vms, v)
 	return v
 }
 
-// settle waits until each node knows n members and owns the keys of its target.
-func (c *cluster) settle() {
+// awaitConvergence waits until each node knows all members and owns the keys of
+// its target, and all nodes have applied the same log offset.
+func (c *cluster) awaitConvergence() {
 	c.t.Helper()
 	for _, v := range c.vms {
-		wharftest.Eventually(c.t, "node "+v.id+" has settled", func() bool {
+		wharftest.Eventually(c.t, "node "+v.id+" knows all members and owns keys", func() bool {
 			var s struct {
 				Members int      `json:"members"`
 				Owned   []string `json:"owned-services"`
 			}
-			return getJSON(v.admin+"/wharf/v1/status", &s) && s.Members >= len(c.vms) && len(s.Owned) > 0
+			return getJSON(v.adminURL+"/wharf/v1/status", &s) && s.Members >= len(c.vms) && len(s.Owned) > 0
 		})
 	}
-	// Every node has to have folded the last announcement.
+	// Equal offsets mean that every node has applied the last ownership record.
 	wharftest.Eventually(c.t, "all nodes have the same offset", func() bool {
 		offsets := map[uint64]bool{}
 		for _, v := range c.vms {
 			var s struct {
 				Offset uint64 `json:"offset"`
 			}
-			if !getJSON(v.admin+"/wharf/v1/status", &s) {
+			if !getJSON(v.adminURL+"/wharf/v1/status", &s) {
 				return false
 			}
 			offsets[s.Offset] = true
@@ -184,8 +186,8 @@
 	return r.StatusCode == http.StatusOK && json.NewDecoder(r.Body).Decode(into) == nil
 }
 
-// setLog switches faults of the log.
-func (c *cluster) setLog(faults string) {
+// setLogFaults sets the injected faults of the log, as JSON.
+func (c *cluster) setLogFaults(faults string) {
 	c.t.Helper()
 	r, err := http.NewRequest(http.MethodPut, c.logURL+"/faults", strings.NewReader(faults))
 	if err != nil {
@@ -198,7 +200,7 @@
 	_ = response.Body.Close()
 }
 
-// stats are what a target has counted.
+// stats are the counters of a target.
 type stats struct {
 	Running int            `json:"running"`
 	Effects map[string]int `json:"effects"`
@@ -206,12 +208,13 @@
 
 func (v *vm) stats() stats {
 	var s stats
-	getJSON(v.worker+"/standin/stats", &s)
+	getJSON(v.targetURL+"/standin/stats", &s)
 	return s
 }
 
-// keyOf returns a key whose home is one of the VMs.
-func (c *cluster) keyOf(owner *vm) string {
+// keyOwnedBy returns a key of the service "bookings" that the node of the VM
+// owns.
+func (c *cluster) keyOwnedBy(owner *vm) string {
 	c.t.Helper()
 	var table *wharfidempotency.OwnershipTable
 	for i, v := range c.vms {
@@ -228,15 +231,16 @@
 	}
 }
 
-// reply is what a caller got.
+// reply is the outcome of a caller's request. It is zero if the caller received
+// no response.
 type reply struct {
 	status  int
 	outcome string
 	reason  string
 }
 
-// headerTag names a request without key to the stand-in target, which counts
-// its effects.
+// headerTag is the header by which the stand-in target identifies a request
+// without a key when it counts effects.
 const headerTag = "X-Tag"
 
 // book sends a booking with a key.
@@ -244,13 +248,14 @@
 	return v.post(wharfwire.HeaderIdempotencyKey, key, timeout)
 }
 
-// bookWithoutKey sends a booking that only the target can tell from others.
+// bookWithoutKey sends a booking without a key. Only the target can identify
+// it, by its tag.
 func (v *vm) bookWithoutKey(tag string, timeout time.Duration) reply {
 	return v.post(headerTag, tag, timeout)
 }
 
 func (v *vm) post(header, value string, timeout time.Duration) reply {
-	r, err := http.NewRequest(http.MethodPost, v.caller+"/bookings", strings.NewReader("slot 7"))
+	r, err := http.NewRequest(http.MethodPost, v.callerURL+"/bookings", strings.NewReader("slot 7"))
 	if err != nil {
 		return reply{}
 	}
--- a/wharfnode/internal/wharfprocess/doc.go
+++ b/wharfnode/internal/wharfprocess/doc.go
@@ -1,5 +1,7 @@
 // Package wharfprocess tests the programs as separate processes: it kills,
-// stops, continues and restarts them, and counts what took effect.
+// stops, continues and restarts them, and counts the effects of requests at the
+// targets.
 //
-// It holds tests only. They need the programs that make build puts into bin.
+// The package contains only tests. They need the programs that "make build"
+// writes to bin.
 package wharfprocess
--- a/wharfnode/internal/wharfprocess/once_test.go
+++ b/wharfnode/internal/wharfprocess/once_test.go
@@ -9,89 +9,93 @@
 	"ragwortwharf.dev/wharfnode/internal/wharftest"
 )
 
-// scene is a cluster with the VM that owns the key and one that doesn't.
-type scene struct {
+// scenario is a cluster with the VM that owns the key and another VM, which
+// sends the request.
+type scenario struct {
 	*cluster
 	owner, other *vm
 	key          string
 }
 
-// fault is something that goes wrong, and comes right again.
+// fault is an injected fault that can be repaired.
 type fault struct {
 	name string
-	// at is the part that breaks.
-	at     string
-	breaks func(s *scene)
-	mend   func(s *scene)
+	// component is the component that fails.
+	component string
+	inject    func(s *scenario)
+	repair    func(s *scenario)
 }
 
 var faults = []fault{
-	{"owner node killed", "owner node", func(s *scene) { s.owner.node.kill() }, func(s *scene) { s.owner.node.start() }},
-	{"owner node restarted", "owner node", func(s *scene) { s.owner.node.restart() }, func(*scene) {}},
-	{"owner node frozen", "owner node", func(s *scene) { s.owner.node.signal(syscall.SIGSTOP) }, func(s *scene) { s.owner.node.signal(syscall.SIGCONT) }},
-	{"sender node frozen", "sender node", func(s *scene) { s.other.node.signal(syscall.SIGSTOP) }, func(s *scene) { s.other.node.signal(syscall.SIGCONT) }},
-	{"sender node killed", "sender node", func(s *scene) { s.other.node.kill() }, func(s *scene) { s.other.node.start() }},
-	{"target killed", "target", func(s *scene) { s.owner.target.kill() }, func(s *scene) { s.owner.target.start() }},
-	{"target frozen", "target", func(s *scene) { s.owner.target.signal(syscall.SIGSTOP) }, func(s *scene) { s.owner.target.signal(syscall.SIGCONT) }},
-	{"owner node stopped as planned", "owner node", func(s *scene) { s.owner.node.signal(syscall.SIGTERM) }, func(s *scene) { <-s.owner.node.ended; s.owner.node.start() }},
-	{"log down", "log", func(s *scene) { s.setLog(`{"down":true}`) }, func(s *scene) { s.setLog(`{}`) }},
-	{"log down, owner node restarted", "log and owner node", func(s *scene) { s.setLog(`{"down":true}`); s.owner.node.restart() }, func(s *scene) { s.setLog(`{}`) }},
+	{"owner node killed", "owner node", func(s *scenario) { s.owner.node.kill() }, func(s *scenario) { s.owner.node.start() }},
+	{"owner node restarted", "owner node", func(s *scenario) { s.owner.node.restart() }, func(*scenario) {}},
+	{"owner node frozen", "owner node", func(s *scenario) { s.owner.node.signal(syscall.SIGSTOP) }, func(s *scenario) { s.owner.node.signal(syscall.SIGCONT) }},
+	{"sender node frozen", "sender node", func(s *scenario) { s.other.node.signal(syscall.SIGSTOP) }, func(s *scenario) { s.other.node.signal(syscall.SIGCONT) }},
+	{"sender node killed", "sender node", func(s *scenario) { s.other.node.kill() }, func(s *scenario) { s.other.node.start() }},
+	{"target killed", "target", func(s *scenario) { s.owner.target.kill() }, func(s *scenario) { s.owner.target.start() }},
+	{"target frozen", "target", func(s *scenario) { s.owner.target.signal(syscall.SIGSTOP) }, func(s *scenario) { s.owner.target.signal(syscall.SIGCONT) }},
+	{"owner node stopped as planned", "owner node", func(s *scenario) { s.owner.node.signal(syscall.SIGTERM) }, func(s *scenario) { <-s.owner.node.ended; s.owner.node.start() }},
+	{"log down", "log", func(s *scenario) { s.setLogFaults(`{"down":true}`) }, func(s *scenario) { s.setLogFaults(`{}`) }},
+	{"log down, owner node restarted", "log and owner node", func(s *scenario) { s.setLogFaults(`{"down":true}`); s.owner.node.restart() }, func(s *scenario) { s.setLogFaults(`{}`) }},
 }
 
-// step is a moment of a request at which a fault can come.
-type step struct {
+// phase is a point in the course of a request at which a fault is injected. run
+// sends the request, injects the fault, and returns the replies.
+type phase struct {
 	name string
-	run  func(t *testing.T, s *scene, f fault) []reply
+	run  func(t *testing.T, s *scenario, f fault) []reply
 }
 
-var whileRunning = step{"while it runs", func(t *testing.T, s *scene, f fault) []reply {
+var whileRunning = phase{"while it runs", func(t *testing.T, s *scenario, f fault) []reply {
 	first := make(chan reply, 1)
 	go func() { first <- s.other.book(s.key, 2*time.Second) }()
 	wharftest.Eventually(t, "the request runs", func() bool { return s.owner.stats().Running > 0 })
-	f.breaks(s)
+	f.inject(s)
 	return []reply{<-first}
 }}
 
-var steps = []step{
-	{"before the send", func(_ *testing.T, s *scene, f fault) []reply {
-		f.breaks(s)
+var phases = []phase{
+	{"before the send", func(_ *testing.T, s *scenario, f fault) []reply {
+		f.inject(s)
 		return []reply{s.other.book(s.key, 2*time.Second)}
 	}},
 	whileRunning,
-	{"after the answer", func(_ *testing.T, s *scene, f fault) []reply {
+	{"after the response", func(_ *testing.T, s *scenario, f fault) []reply {
 		first := s.other.book(s.key, 2*time.Second)
-		f.breaks(s)
+		f.inject(s)
 		return []reply{first}
 	}},
 }
 
-// TestBookingTakesEffectOnce brings each fault at each step of a booking,
-// resends it to both nodes during the fault and after it, and counts effects
-// at the targets. A target that is killed forgets its counts, so effects are
-// read before as well.
+// TestBookingTakesEffectOnce guards against bookings that take effect twice,
+// and against false outcomes. It injects each fault in each phase of a booking,
+// resends the booking to both nodes during the fault and after it, and counts
+// the effects at the targets. A target that is killed loses its counts, so the
+// effects are also read before the fault.
 func TestBookingTakesEffectOnce(t *testing.T) {
 	for _, f := range faults {
-		for _, step := range steps {
-			t.Run(f.name+"/"+step.name, func(t *testing.T) {
+		for _, p := range phases {
+			t.Run(f.name+"/"+p.name, func(t *testing.T) {
 				t.Parallel()
-				bookUnder(t, f, step)
+				checkBookingUnder(t, f, p)
 			})
 		}
 	}
 }
 
-// TestBookingWithoutKeyTakesEffectOnce brings each fault while a booking runs
-// whose key the node has minted. It is sent once; nothing on the way may send it
-// again, and what the caller is told must be true.
+// TestBookingWithoutKeyTakesEffectOnce injects each fault while a booking runs
+// for which the node generated the key. The caller sends the booking once. No
+// node may send it again, and the outcome that the caller receives must be
+// true.
 func TestBookingWithoutKeyTakesEffectOnce(t *testing.T) {
 	for _, f := range faults {
 		t.Run(f.name, func(t *testing.T) {
 			t.Parallel()
-			s := newScene(t)
-			// The sender has no target of its own, so that the VM which runs the
-			// request can fail without it.
+			s := newScenario(t)
+			// The sender has no target of this service, so that the VM that
+			// runs the request can fail while the sender keeps running.
 			s.other = s.startVM("domain-c", "reads")
-			s.settle()
+			s.awaitConvergence()
 			first := make(chan reply, 1)
 			go func() { first <- s.other.bookWithoutKey(s.key, 2*time.Second) }()
 			wharftest.Eventually(t, "the request runs", func() bool {
@@ -103,75 +107,77 @@
 				}
 				return false
 			})
-			counted := s.effects()
-			f.breaks(s)
-			told := <-first
-			f.mend(s)
-			s.awaitEnd(t)
-			s.check(t, f.name == "target killed", counted, []reply{told})
+			effectsBefore := s.effects()
+			f.inject(s)
+			got := <-first
+			f.repair(s)
+			s.awaitIdle(t)
+			s.check(t, f.name == "target killed", effectsBefore, []reply{got})
 		})
 	}
 }
 
-// TestBookingTakesEffectOnceUnderTwoFaults brings two faults of different parts
-// while a booking runs.
+// TestBookingTakesEffectOnceUnderTwoFaults injects two faults of different
+// components while a booking runs.
 func TestBookingTakesEffectOnceUnderTwoFaults(t *testing.T) {
 	for i, f := range faults {
 		for _, second := range faults[i+1:] {
-			if strings.Contains(second.at, f.at) || strings.Contains(f.at, second.at) {
+			if strings.Contains(second.component, f.component) || strings.Contains(f.component, second.component) {
 				continue
 			}
 			t.Run(f.name+" and "+second.name, func(t *testing.T) {
 				t.Parallel()
-				bookUnder(t, f.and(second), whileRunning)
+				checkBookingUnder(t, f.combine(second), whileRunning)
 			})
 		}
 	}
 }
 
-// and returns the fault that is both, one right after the other.
-func (f fault) and(second fault) fault {
+// combine returns a fault that injects, and repairs, both faults one after the
+// other.
+func (f fault) combine(second fault) fault {
 	return fault{
-		name: f.name + " and " + second.name,
-		at:   f.at + " and " + second.at,
-		breaks: func(s *scene) {
-			f.breaks(s)
-			second.breaks(s)
+		name:      f.name + " and " + second.name,
+		component: f.component + " and " + second.component,
+		inject: func(s *scenario) {
+			f.inject(s)
+			second.inject(s)
 		},
-		mend: func(s *scene) {
-			f.mend(s)
-			second.mend(s)
+		repair: func(s *scenario) {
+			f.repair(s)
+			second.repair(s)
 		},
 	}
 }
 
-// bookUnder makes a booking under a fault and checks what becomes of it.
-func bookUnder(t *testing.T, f fault, st step) {
+// checkBookingUnder sends a booking under a fault, resends it, and checks the
+// replies and effects.
+func checkBookingUnder(t *testing.T, f fault, p phase) {
 	t.Helper()
-	s := newScene(t)
-	var counted int
-	observed := fault{breaks: func(s *scene) {
-		counted = s.effects()
-		f.breaks(s)
+	s := newScenario(t)
+	var effectsBefore int
+	recorded := fault{inject: func(s *scenario) {
+		effectsBefore = s.effects()
+		f.inject(s)
 	}}
-	replies := st.run(t, s, observed)
+	replies := p.run(t, s, recorded)
 	for _, v := range []*vm{s.owner, s.other} {
 		replies = append(replies, v.book(s.key, time.Second))
 	}
-	f.mend(s)
+	f.repair(s)
 	for range 3 {
 		for _, v := range []*vm{s.owner, s.other} {
 			replies = append(replies, v.book(s.key, time.Second))
 		}
 	}
-	s.awaitEnd(t)
-	s.check(t, strings.Contains(f.name, "target killed"), counted, replies)
+	s.awaitIdle(t)
+	s.check(t, strings.Contains(f.name, "target killed"), effectsBefore, replies)
 }
 
-// awaitEnd waits until no target works any more.
-func (s *scene) awaitEnd(t *testing.T) {
+// awaitIdle waits until no target runs a request.
+func (s *scenario) awaitIdle(t *testing.T) {
 	t.Helper()
-	wharftest.Eventually(t, "nothing runs any more", func() bool {
+	wharftest.Eventually(t, "no target runs a request", func() bool {
 		running := 0
 		for _, v := range s.vms {
 			running += v.stats().Running
@@ -180,17 +186,18 @@
 	})
 }
 
-func newScene(t *testing.T) *scene {
+func newScenario(t *testing.T) *scenario {
 	t.Helper()
 	c := newCluster(t)
-	// A target that works on when its caller is lost makes every send count.
+	// The targets ignore cancellation, so that every request that reaches one
+	// takes effect.
 	owner := c.startVM("domain-a", "bookings", "--service-time", "300ms", "--ignore-cancellation")
 	other := c.startVM("domain-b", "bookings", "--service-time", "300ms", "--ignore-cancellation")
-	c.settle()
-	return &scene{cluster: c, owner: owner, other: other, key: c.keyOf(owner)}
+	c.awaitConvergence()
+	return &scenario{cluster: c, owner: owner, other: other, key: c.keyOwnedBy(owner)}
 }
 
-func (s *scene) effects() int {
+func (s *scenario) effects() int {
 	effects := 0
 	for _, v := range s.vms {
 		effects += v.stats().Effects[s.key]
@@ -198,12 +205,14 @@
 	return effects
 }
 
-// check compares what callers were told with what the targets did.
-func (s *scene) check(t *testing.T, forgets bool, counted int, replies []reply) {
+// check compares the replies that callers received with the effects at the
+// targets. countsLost means that a target lost its counts, so effectsBefore is
+// added to the current counts.
+func (s *scenario) check(t *testing.T, countsLost bool, effectsBefore int, replies []reply) {
 	t.Helper()
 	effects := s.effects()
-	if forgets {
-		effects += counted
+	if countsLost {
+		effects += effectsBefore
 	}
 	completed := 0
 	onlyNotRun := true
@@ -216,12 +225,12 @@
 		}
 	}
 	if effects > 1 {
-		t.Errorf("%d effects; replies %v", effects, replies)
+		t.Errorf("%d effects, want at most 1; replies %v", effects, replies)
 	}
-	if completed > 0 && effects == 0 && !forgets {
-		t.Errorf("completed without effect; replies %v", replies)
+	if completed > 0 && effects == 0 && !countsLost {
+		t.Errorf("a reply has status 200, but the request took no effect; replies %v", replies)
 	}
 	if onlyNotRun && effects > 0 {
-		t.Errorf("every caller was told that nothing ran; replies %v", replies)
+		t.Errorf("outcome of every reply is not-run, but the request took effect; replies %v", replies)
 	}
 }
