--- a/wharfstandin/doc.go
+++ b/wharfstandin/doc.go
@@ -1,4 +1,4 @@
-// Wharfstandin holds small stand-ins for what surrounds the system: the
-// platform's log, targets, and callers that put load on it. It is never part
-// of a deployment.
+// Wharfstandin runs stand-ins for tests and experiments: a log in place of the
+// platform's, targets, and callers that generate load. It is never part of a
+// deployment.
 package main
--- a/wharfstandin/internal/wharfhttp/serve.go
+++ b/wharfstandin/internal/wharfhttp/serve.go
@@ -13,7 +13,10 @@
 	shutdownTimeout   = 30 * time.Second
 )
 
-// Serve serves until the context ends, and then lets requests in flight end.
+// Serve listens on a TCP address and serves HTTP until the context ends. Then
+// it stops accepting connections and waits up to shutdownTimeout for the
+// requests in flight. It returns an error if it can't listen, or if requests
+// are still in flight after that time.
 func Serve(ctx context.Context, address string, handler http.Handler) error {
 	l, err := (&net.ListenConfig{}).Listen(ctx, "tcp", address)
 	if err != nil {
@@ -36,10 +39,10 @@
 	_ = s.http.Serve(l)
 }
 
-// Reply writes a JSON answer.
+// Reply writes a status and a body as a JSON response.
 func Reply(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	// A client that went away needs no answer.
+	// An error is ignored: a client that disconnected needs no response.
 	_ = json.NewEncoder(w).Encode(body)
 }
--- a/wharfstandin/internal/wharfload/doc.go
+++ b/wharfstandin/internal/wharfload/doc.go
@@ -1,4 +1,5 @@
-// Package wharfload puts load on nodes as callers would, in an open loop, and
-// measures what the callers see: goodput of whole answers by class, recovery
-// after trouble, latency, and attempts for each request.
+// Package wharfload is an open-loop load generator: it sends requests to nodes
+// as callers do, and measures what the callers see. It reports the goodput by
+// class (complete responses per second), the recovery time after a disruption,
+// the latency, and the attempts per request.
 package wharfload
--- a/wharfstandin/internal/wharfload/plan.go
+++ b/wharfstandin/internal/wharfload/plan.go
@@ -8,17 +8,18 @@
 	"github.com/samber/oops"
 )
 
-// Class is a kind of request in the mix.
+// Class is a kind of request in the load.
 type Class struct {
-	Name   string
+	Name string
+	// Share is the weight of the class relative to the other classes.
 	Share  float64
 	Method string
 	Path   string
-	// Bytes is the size of the body that is sent.
+	// Bytes is the size of the request body.
 	Bytes int
 }
 
-// ParseClasses reads kinds of the form NAME:SHARE:METHOD:PATH[:BYTES].
+// ParseClasses parses classes of the form NAME:SHARE:METHOD:PATH[:BYTES].
 func ParseClasses(texts []string) ([]Class, error) {
 	var classes []Class
 	for _, text := range texts {
@@ -28,13 +29,13 @@
 		}
 		share, err := strconv.ParseFloat(parts[1], 64)
 		if err != nil || share <= 0 {
-			return nil, oops.Errorf("%q has no share above 0", text)
+			return nil, oops.Errorf("the share in %q is not a number above 0", text)
 		}
 		c := Class{Name: parts[0], Share: share, Method: parts[2], Path: parts[3]}
 		if len(parts) == 5 {
 			c.Bytes, err = strconv.Atoi(parts[4])
 			if err != nil || c.Bytes < 0 {
-				return nil, oops.Errorf("%q has no size", text)
+				return nil, oops.Errorf("the body size in %q is not an integer of at least 0", text)
 			}
 		}
 		classes = append(classes, c)
@@ -42,37 +43,51 @@
 	return classes, nil
 }
 
-// Disruption is what happens to the system in the middle of a run.
+// Disruption is a period of a run with a higher request rate, slower targets,
+// or both.
 type Disruption struct {
-	At  time.Duration
+	// At is the time from the start of the run to the start of the disruption.
+	At time.Duration
+	// For is the length of the disruption; 0 means that the run has none.
 	For time.Duration
-	// Surge multiplies the rate.
+	// Surge is the factor on the request rate.
 	Surge float64
-	// Slow lists stand-in targets whose service time changes.
+	// Slow lists the URLs of stand-in targets whose service time changes from
+	// SlowFromMs to SlowToMs, in milliseconds.
 	Slow       []string
 	SlowFromMs float64
 	SlowToMs   float64
-	// Capacity is the user requests a second that the capacity left allows.
+	// Capacity is the number of user requests per second that the remaining
+	// capacity can serve; 0 means unknown.
 	Capacity float64
 }
 
-// active reports whether the trouble lasts at a time of the run.
-func (t Disruption) active(at time.Duration) bool {
-	return t.For > 0 && at >= t.At && at < t.At+t.For
+// active reports whether the disruption is under way at a time since the start
+// of the run.
+func (d Disruption) active(at time.Duration) bool {
+	return d.For > 0 && at >= d.At && at < d.At+d.For
 }
 
 // Plan describes a run.
 type Plan struct {
-	Name       string
-	Entries    []string
-	Service    string
-	Classes    []Class
-	Rate       float64
-	Duration   time.Duration
-	Timeout    time.Duration
-	Resends    int
-	Polite     bool
+	Name string
+	// Entries lists the caller URLs of the nodes, which are used in rotation.
+	Entries []string
+	Service string
+	Classes []Class
+	// Rate is the number of user requests per second. A user request is one
+	// request of a user, however often the caller sends it.
+	Rate     float64
+	Duration time.Duration
+	// Timeout bounds a user request with all its resends.
+	Timeout time.Duration
+	// Resends is the maximum number of resends of a failed user request.
+	Resends int
+	// Polite makes callers wait for the retry-after hint before they resend.
+	Polite bool
+	// Keys gives each user request other than a GET an idempotency key.
 	Keys       bool
 	Disruption Disruption
-	Targets    []string
+	// Targets lists the URLs of stand-in targets whose arrivals are counted.
+	Targets []string
 }
--- a/wharfstandin/internal/wharfload/report.go
+++ b/wharfstandin/internal/wharfload/report.go
@@ -14,70 +14,87 @@
 )
 
 const (
-	// recoverySlot is the resolution of the recovery time.
-	recoverySlot = 100 * time.Millisecond
-	// recoveryWindow is how long goodput must be back to count as recovered.
+	// recoveryStep is the resolution of the recovery time.
+	recoveryStep = 100 * time.Millisecond
+	// recoveryWindow is the length of the window in which the goodput must have
+	// recovered.
 	recoveryWindow = time.Second
-	// recoveredShare is the share of the goodput before that counts as back.
+	// recoveredShare is the share of the goodput before the disruption at which
+	// the goodput counts as recovered.
 	recoveredShare = 0.95
-	// settle is left out after the start and around the ends of the trouble.
-	settle = time.Second
+	// settlingTime is left out of the goodput after the start of the run, after
+	// the start of the disruption and after its end.
+	settlingTime = time.Second
 
+	// maxLatency is the largest latency that the histogram records.
 	maxLatency = time.Minute
-	precision  = 3
+	// latencyDigits is the number of significant digits of the histogram.
+	latencyDigits = 3
 )
 
-// Report is what the callers saw.
+// Report holds the results of a run from the callers' point of view.
 type Report struct {
 	Name    string        `json:"name"`
 	Classes []ClassReport `json:"classes"`
 	Total   ClassReport   `json:"total"`
-	// AttemptsPerRequest is arrivals at the counted targets for each user
-	// request.
+	// AttemptsPerRequest is the number of requests that arrived at the counted
+	// targets, divided by the number of user requests.
 	AttemptsPerRequest float64 `json:"attempts-per-request"`
-	// SendsPerRequest is how often callers sent each user request.
+	// SendsPerRequest is how often the callers sent a user request on average.
 	SendsPerRequest float64 `json:"sends-per-request"`
-	// RecoverySeconds is the time from the end of the trouble until goodput is
-	// back; negative if it never was, absent without trouble.
+	// RecoverySeconds is the time from the end of the disruption until the
+	// goodput has recovered. It is negative if the goodput didn't recover within
+	// the run, and nil if the run has no disruption.
 	RecoverySeconds *float64 `json:"recovery-seconds,omitempty"`
-	// CapacityShare is the goodput during the trouble, relative to what the
-	// capacity left allows.
-	CapacityShare    *float64 `json:"capacity-share,omitempty"`
-	ForeignResponses int      `json:"foreign-answers"`
-	Dropped          int      `json:"dropped-by-generator"`
-	Reasons          []Count  `json:"failures-by-reason"`
+	// CapacityShare is the goodput during the disruption, divided by
+	// Disruption.Capacity. It is nil if that is 0.
+	CapacityShare *float64 `json:"capacity-share,omitempty"`
+	// ForeignResponses counts the responses with status 200 that were read to
+	// their end but aren't a complete response to the caller's request.
+	ForeignResponses int `json:"foreign-answers"`
+	// Dropped counts the user requests that weren't sent because maxCallers user
+	// requests were already in flight.
+	Dropped int `json:"dropped-by-generator"`
+	// Reasons counts the failed user requests by reason, most frequent first.
+	Reasons []Count `json:"failures-by-reason"`
 }
 
-// Count is a number with its name.
+// Count is the number of failed user requests with one reason.
 type Count struct {
 	Name  string `json:"name"`
 	Count int    `json:"count"`
 }
 
-// ClassReport is what the callers of one class saw. Rates are whole answers a
-// second, latencies are in milliseconds.
+// ClassReport holds the results for the user requests of one class, or of all
+// classes.
 type ClassReport struct {
-	Class     string  `json:"class"`
-	Requests  int     `json:"requests"`
-	Succeeded int     `json:"succeeded"`
-	Before    float64 `json:"goodput-before"`
-	During    float64 `json:"goodput-during"`
-	After     float64 `json:"goodput-after"`
-	// OfferedDuring is the rate of requests during the trouble.
+	Class     string `json:"class"`
+	Requests  int    `json:"requests"`
+	Succeeded int    `json:"succeeded"`
+	// Before, During and After are the goodput before, during and after the
+	// disruption, in complete responses per second.
+	Before float64 `json:"goodput-before"`
+	During float64 `json:"goodput-during"`
+	After  float64 `json:"goodput-after"`
+	// OfferedDuring is the rate of user requests during the disruption, per
+	// second.
 	OfferedDuring float64 `json:"offered-during"`
-	P50           float64 `json:"p50-ms"`
-	P99           float64 `json:"p99-ms"`
+	// P50 and P99 are percentiles of the latency of the user requests that
+	// succeeded, in milliseconds.
+	P50 float64 `json:"p50-ms"`
+	P99 float64 `json:"p99-ms"`
 }
 
-// span is a part of the run.
+// span is a part of the run, as times since its start.
 type span struct {
 	from, to time.Duration
 }
 
-func (s span) has(at time.Duration) bool {
+func (s span) contains(at time.Duration) bool {
 	return at >= s.from && at < s.to
 }
 
+// rate returns n per second of the span, or 0 if the span is empty.
 func (s span) rate(n int) float64 {
 	if s.to <= s.from {
 		return 0
@@ -85,16 +102,19 @@
 	return float64(n) / (s.to - s.from).Seconds()
 }
 
-// spans divides the run into before, during and after the trouble.
+// spans returns the parts of the run before, during and after the disruption,
+// without the settling times.
 func (g *generator) spans() (before, during, after span) {
-	t := g.plan.Disruption
-	if t.For == 0 {
-		return span{settle, g.plan.Duration}, span{}, span{}
+	d := g.plan.Disruption
+	if d.For == 0 {
+		return span{settlingTime, g.plan.Duration}, span{}, span{}
 	}
-	end := t.At + t.For
-	return span{settle, t.At}, span{t.At + settle, end}, span{end + settle, g.plan.Duration}
+	end := d.At + d.For
+	return span{settlingTime, d.At}, span{d.At + settlingTime, end}, span{end + settlingTime, g.plan.Duration}
 }
 
+// report evaluates the results; arrivals is the number of requests that the
+// counted targets received.
 func (g *generator) report(arrivals int64) Report {
 	r := Report{Name: g.plan.Name, Dropped: g.dropped}
 	for i, c := range g.plan.Classes {
@@ -124,6 +144,7 @@
 	return r
 }
 
+// count adds one failed user request to the count of its reason.
 func (r *Report) count(reason string) {
 	for i := range r.Reasons {
 		if r.Reasons[i].Name == reason {
@@ -134,10 +155,13 @@
 	r.Reasons = append(r.Reasons, Count{reason, 1})
 }
 
+// classReport evaluates the results for which belongs returns true.
 func (g *generator) classReport(name string, belongs func(result) bool) ClassReport {
 	r := ClassReport{Class: name}
 	before, during, after := g.spans()
-	latencies := hdrhistogram.New(1, maxLatency.Microseconds(), precision)
+	latencies := hdrhistogram.New(1, maxLatency.Microseconds(), latencyDigits)
+	// ended counts the successful requests that ended before, during and after
+	// the disruption.
 	var ended [3]int
 	offered := 0
 	for _, x := range g.results {
@@ -145,7 +169,7 @@
 			continue
 		}
 		r.Requests++
-		if during.has(x.started) {
+		if during.contains(x.started) {
 			offered++
 		}
 		if !x.ok {
@@ -153,11 +177,11 @@
 		}
 		r.Succeeded++
 		for i, s := range []span{before, during, after} {
-			if s.has(x.ended) {
+			if s.contains(x.ended) {
 				ended[i]++
 			}
 		}
-		// A latency beyond the range is cut to it.
+		// A latency above maxLatency is recorded as maxLatency.
 		_ = latencies.RecordValue(min((x.ended - x.started).Microseconds(), maxLatency.Microseconds()))
 	}
 	r.Before, r.During, r.After = before.rate(ended[0]), during.rate(ended[1]), after.rate(ended[2])
@@ -167,15 +191,16 @@
 	return r
 }
 
-// recovery returns the seconds from the end of the trouble until a window
-// begins in which goodput is back.
+// recovery returns the seconds from the end of the disruption to the start of
+// the first window in which the goodput has recovered, or -1 if the run has no
+// such window. The parameter before is the goodput before the disruption.
 func (g *generator) recovery(before float64) float64 {
 	end := g.plan.Disruption.At + g.plan.Disruption.For
-	for at := end; at+recoveryWindow <= g.plan.Duration; at += recoverySlot {
+	for at := end; at+recoveryWindow <= g.plan.Duration; at += recoveryStep {
 		window := span{at, at + recoveryWindow}
 		n := 0
 		for _, x := range g.results {
-			if x.ok && window.has(x.ended) {
+			if x.ok && window.contains(x.ended) {
 				n++
 			}
 		}
@@ -186,7 +211,7 @@
 	return -1
 }
 
-// WriteTable prints the report for people.
+// WriteTable writes the report as text.
 func (r Report) WriteTable(w io.Writer) {
 	_, _ = fmt.Fprintf(w, "== %s\n", r.Name)
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
@@ -209,7 +234,7 @@
 	}
 }
 
-// WriteJSON writes the report for programs.
+// WriteJSON writes the report to a file as JSON.
 func (r Report) WriteJSON(path string) error {
 	data, err := json.MarshalIndent(r, "", "  ")
 	if err != nil {
--- a/wharfstandin/internal/wharfload/request.go
+++ b/wharfstandin/internal/wharfload/request.go
@@ -17,19 +17,21 @@
 	"ragwortwharf.dev/wharfstandin/internal/wharftargetservice"
 )
 
-// hardPause is how long an impatient caller waits before it sends again.
-const hardPause = 20 * time.Millisecond
+// defaultResendDelay is how long a caller waits before a resend if it ignores
+// the retry-after hint or the response has none.
+const defaultResendDelay = 20 * time.Millisecond
 
-// userRequest is one request of a user, with all its sends.
+// userRequest is one request of a user, which the caller may send several times.
 type userRequest struct {
 	generator *generator
-	class     int
-	number    int
+	class     int // index in Plan.Classes
+	number    int // counts the user requests of the run from 0
 	key       string
 	tag       string
 }
 
-// run sends until an answer is whole, the sends are spent or time is over.
+// run sends the request until the caller gets a complete response, no resends
+// are left, or the timeout has passed.
 func (u *userRequest) run(ctx context.Context) result {
 	g := u.generator
 	r := result{class: u.class, started: time.Since(g.started)}
@@ -40,10 +42,10 @@
 		u.key = id.String()
 	}
 	for r.sends <= g.plan.Resends && !r.ok && ctx.Err() == nil {
-		pause := u.send(ctx, &r)
+		delay := u.send(ctx, &r)
 		r.sends++
 		if !r.ok && r.sends <= g.plan.Resends {
-			wharftimer.Sleep(ctx, pause)
+			wharftimer.Sleep(ctx, delay)
 		}
 	}
 	if !r.ok && ctx.Err() != nil {
@@ -53,12 +55,13 @@
 	return r
 }
 
-// send makes one send and returns how long to wait before the next.
+// send sends the request once, records the outcome in r, and returns how long
+// to wait before the next send.
 func (u *userRequest) send(ctx context.Context, r *result) time.Duration {
-	response, err := u.generator.client.Do(u.request(ctx, r.sends))
+	response, err := u.generator.client.Do(u.newRequest(ctx, r.sends))
 	if err != nil {
 		r.reason = "connection"
-		return hardPause
+		return defaultResendDelay
 	}
 	defer func() { _ = response.Body.Close() }()
 	body, err := io.ReadAll(response.Body)
@@ -70,38 +73,42 @@
 		if err == nil && !r.ok {
 			r.foreign++
 		}
-		return hardPause
+		return defaultResendDelay
 	}
 	r.reason = response.Header.Get(wharfwire.HeaderReason)
 	if r.reason == string(wharfoutcome.ReasonNone) {
 		r.reason = "status-" + strconv.Itoa(response.StatusCode)
 	}
-	return u.pause(response)
+	return u.resendDelay(response)
 }
 
-func (u *userRequest) request(ctx context.Context, n int) *http.Request {
+// newRequest returns the HTTP request for the nth send, from 0. Each resend goes
+// to the next node. A request that can't be built fails when it is sent.
+func (u *userRequest) newRequest(ctx context.Context, n int) *http.Request {
 	g := u.generator
 	c := g.plan.Classes[u.class]
-	entry := g.plan.Entries[(u.number+n)%len(g.plan.Entries)]
-	q, err := http.NewRequestWithContext(ctx, c.Method, entry+c.Path, bytes.NewReader(make([]byte, c.Bytes)))
+	callerURL := g.plan.Entries[(u.number+n)%len(g.plan.Entries)]
+	req, err := http.NewRequestWithContext(ctx, c.Method, callerURL+c.Path, bytes.NewReader(make([]byte, c.Bytes)))
 	if err != nil {
-		q = (&http.Request{Method: c.Method, Header: http.Header{}}).WithContext(ctx)
+		req = (&http.Request{Method: c.Method, Header: http.Header{}}).WithContext(ctx)
 	}
-	q.Header.Set(wharfwire.HeaderService, g.plan.Service)
-	q.Header.Set(wharfwire.HeaderTimeout, strconv.FormatInt(g.plan.Timeout.Milliseconds(), 10))
-	q.Header.Set(wharfwire.HeaderCaller, "load")
-	q.Header.Set(wharftargetservice.HeaderTag, u.tag)
+	req.Header.Set(wharfwire.HeaderService, g.plan.Service)
+	req.Header.Set(wharfwire.HeaderTimeout, strconv.FormatInt(g.plan.Timeout.Milliseconds(), 10))
+	req.Header.Set(wharfwire.HeaderCaller, "load")
+	req.Header.Set(wharftargetservice.HeaderTag, u.tag)
 	if g.plan.Keys && c.Method != http.MethodGet {
-		q.Header.Set(wharfwire.HeaderIdempotencyKey, u.key)
+		req.Header.Set(wharfwire.HeaderIdempotencyKey, u.key)
 	}
-	return q
+	return req
 }
 
-// pause returns how long the caller waits: as advised if it is polite.
-func (u *userRequest) pause(response *http.Response) time.Duration {
+// resendDelay returns how long the caller waits after a failed send: the time
+// of the retry-after hint if the caller is polite and the response has one,
+// else defaultResendDelay.
+func (u *userRequest) resendDelay(response *http.Response) time.Duration {
 	ms, err := strconv.Atoi(response.Header.Get(wharfwire.HeaderRetryAfterMs))
 	if !u.generator.plan.Polite || err != nil {
-		return hardPause
+		return defaultResendDelay
 	}
 	return time.Duration(ms) * time.Millisecond
 }
--- a/wharfstandin/internal/wharfload/run.go
+++ b/wharfstandin/internal/wharfload/run.go
@@ -14,13 +14,15 @@
 )
 
 const (
-	// maxCallers bounds the user requests under way.
+	// maxCallers bounds the user requests in flight.
 	maxCallers = 8000
-	// seed makes the order of classes the same in each run.
+	// seed makes the sequence of classes the same in each run.
 	seed = 20261203
 )
 
-// Run runs the load and returns what the callers saw.
+// Run generates the load of a plan and reports what the callers saw. It stops
+// starting user requests when the plan's duration or the context ends, and
+// waits for those in flight.
 func Run(ctx context.Context, p Plan) Report {
 	g := &generator{
 		plan: p,
@@ -35,8 +37,8 @@
 	return g.report(g.arrivals(ctx) - before)
 }
 
-// generator starts user requests at the planned rate, however many are still
-// under way.
+// generator starts user requests at the rate of the plan (a Poisson process),
+// regardless of how many are still in flight.
 type generator struct {
 	plan    Plan
 	client  *http.Client
@@ -49,35 +51,38 @@
 	dropped int
 }
 
-// result is the end of one user request.
+// result is the outcome of one user request.
 type result struct {
-	class   int
+	class int // index in Plan.Classes
+	// started and ended are times since the start of the run.
 	started time.Duration
 	ended   time.Duration
-	ok      bool
-	sends   int
-	// reason is the last outcome that a failed request was told.
+	// ok reports whether the caller got a complete response to its request.
+	ok    bool
+	sends int
+	// reason is the reason of the last failed send, or "caller-timeout".
 	reason string
-	// foreign counts answers that were not whole or not the caller's own.
+	// foreign is the number of sends that count as ForeignResponses.
 	foreign int
 }
 
+// run starts the user requests and waits for them.
 func (g *generator) run(ctx context.Context) {
 	pool := pond.NewPool(maxCallers, pond.WithQueueSize(1), pond.WithNonBlocking(true))
 	g.started = time.Now()
-	troubled := false
+	disrupted := false
 	next := time.Duration(0)
 	for n := 0; ctx.Err() == nil; n++ {
 		at := time.Since(g.started)
 		if at >= g.plan.Duration {
 			break
 		}
-		if active := g.plan.Disruption.active(at); active != troubled {
-			troubled = active
-			g.slow(ctx, active)
+		if active := g.plan.Disruption.active(at); active != disrupted {
+			disrupted = active
+			g.setServiceTimes(ctx, active)
 		}
 		rate := g.plan.Rate
-		if troubled {
+		if disrupted {
 			rate *= g.plan.Disruption.Surge
 		}
 		u := &userRequest{generator: g, class: g.pick(), number: n}
@@ -87,13 +92,13 @@
 		next += time.Duration(g.rng.ExpFloat64() / rate * float64(time.Second))
 		time.Sleep(next - time.Since(g.started))
 	}
-	if troubled {
-		g.slow(ctx, false)
+	if disrupted {
+		g.setServiceTimes(ctx, false)
 	}
 	pool.StopAndWait()
 }
 
-// pick chooses a class by its share.
+// pick draws the index of a class at random, weighted by share.
 func (g *generator) pick() int {
 	total := 0.0
 	for _, c := range g.plan.Classes {
@@ -115,25 +120,28 @@
 	g.results = append(g.results, r)
 }
 
+// drop counts a user request that wasn't sent.
 func (g *generator) drop() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.dropped++
 }
 
-// slow changes the service time of the slow targets.
-func (g *generator) slow(ctx context.Context, active bool) {
+// setServiceTimes sets the service time of the targets in Disruption.Slow to
+// SlowToMs if the disruption is active, else to SlowFromMs.
+func (g *generator) setServiceTimes(ctx context.Context, active bool) {
 	ms := g.plan.Disruption.SlowFromMs
 	if active {
 		ms = g.plan.Disruption.SlowToMs
 	}
 	for _, url := range g.plan.Disruption.Slow {
-		// A stand-in that is gone shows in the report.
+		// An error is ignored: a stand-in that isn't running shows in the report.
 		_, _ = g.control.R().SetContext(ctx).SetBody(wharftargetservice.Control{ServiceTimeMs: &ms}).Put(url + "/standin/control")
 	}
 }
 
-// arrivals sums the requests that the counted targets have received.
+// arrivals returns the number of requests that the targets in Plan.Targets have
+// received. It leaves out a target that doesn't respond.
 func (g *generator) arrivals(ctx context.Context) int64 {
 	sum := int64(0)
 	for _, url := range g.plan.Targets {
--- a/wharfstandin/internal/wharflogservice/doc.go
+++ b/wharfstandin/internal/wharflogservice/doc.go
@@ -1,3 +1,3 @@
-// Package wharflogservice is the stand-in for the platform's append-only log,
-// with faults that tests switch on over HTTP.
+// Package wharflogservice implements a stand-in for the platform's append-only
+// log, with faults that tests inject over HTTP.
 package wharflogservice
--- a/wharfstandin/internal/wharflogservice/service.go
+++ b/wharfstandin/internal/wharflogservice/service.go
@@ -11,17 +11,19 @@
 	"ragwortwharf.dev/wharf/wharfstream"
 )
 
-// Faults are the troubles of the service. The zero Faults has none.
+// Faults are the faults that the service injects. The zero Faults injects none.
 type Faults struct {
-	// Down refuses every call.
+	// Down fails every call with wharfstream.ErrUnavailable.
 	Down bool `json:"down"`
-	// SlowMs delays every call, in milliseconds.
+	// SlowMs is the delay of every call, in milliseconds.
 	SlowMs int `json:"slow-ms"`
-	// LoseAnswers is how many appends take effect without an answer.
+	// LoseAnswers is the number of further appends that take effect but get no
+	// response.
 	LoseAnswers int `json:"lose-answers"`
 }
 
-// Service is a log in memory with a rate limit and faults.
+// Service is a log in memory with injected faults and a token bucket that
+// limits the rate of appends. It is safe for concurrent use.
 type Service struct {
 	log  wharflog.Memory
 	rate float64
@@ -29,16 +31,18 @@
 	mu     sync.Mutex
 	faults Faults
 	tokens float64
-	filled time.Time
+	// refilled is when tokens were last added.
+	refilled time.Time
 }
 
-// New returns a service that keeps records for a time and takes a number of
-// appends a second.
+// New returns a service that keeps records for the retention time and accepts
+// rate appends per second.
 func New(retention time.Duration, rate float64) *Service {
-	return &Service{log: wharflog.Memory{Retention: retention}, rate: rate, tokens: rate, filled: time.Now()}
+	return &Service{log: wharflog.Memory{Retention: retention}, rate: rate, tokens: rate, refilled: time.Now()}
 }
 
-// Handler returns the routes of the service, that for its faults included.
+// Handler returns the HTTP handler of the log and of PUT /faults, which sets the
+// faults.
 func (s *Service) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("/v1/", wharflog.Handler(s))
@@ -58,22 +62,24 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// Append adds a record, if the faults and the rate limit let it.
+// Append adds a record to a stream and returns the record's offset. It returns
+// wharfstream.ErrRateLimited above the rate limit, and the error of an injected
+// fault.
 func (s *Service) Append(ctx context.Context, stream string, data []byte) (uint64, error) {
 	if err := s.injectFaults(); err != nil {
 		return 0, err
 	}
-	if !s.take() {
+	if !s.takeToken() {
 		return 0, wharfstream.ErrRateLimited
 	}
 	offset, err := s.log.Append(ctx, stream, data)
-	if err == nil && s.loses() {
+	if err == nil && s.losesResponse() {
 		return 0, wharfstream.ErrUncertain
 	}
 	return offset, err
 }
 
-// Read returns records, if the faults let it.
+// Read returns records of a stream, or the error of an injected fault.
 func (s *Service) Read(ctx context.Context, stream string, from uint64, limit int, wait time.Duration) (wharfstream.Batch, error) {
 	if err := s.injectFaults(); err != nil {
 		return wharfstream.Batch{}, err
@@ -81,7 +87,8 @@
 	return s.log.Read(ctx, stream, from, limit, wait)
 }
 
-// injectFaults lets the faults act on a call.
+// injectFaults delays a call by SlowMs and returns an error if the service is
+// down.
 func (s *Service) injectFaults() error {
 	s.mu.Lock()
 	f := s.faults
@@ -93,13 +100,14 @@
 	return nil
 }
 
-// take takes one append from the rate limit.
-func (s *Service) take() bool {
+// takeToken takes the token for one append from the bucket and reports whether
+// the bucket had one.
+func (s *Service) takeToken() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	s.tokens = min(s.tokens+now.Sub(s.filled).Seconds()*s.rate, max(s.rate, 1))
-	s.filled = now
+	s.tokens = min(s.tokens+now.Sub(s.refilled).Seconds()*s.rate, max(s.rate, 1))
+	s.refilled = now
 	if s.tokens < 1 {
 		return false
 	}
@@ -107,7 +115,9 @@
 	return true
 }
 
-func (s *Service) loses() bool {
+// losesResponse reports whether the response to an append is lost, and counts it
+// in LoseAnswers.
+func (s *Service) losesResponse() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.faults.LoseAnswers == 0 {
--- a/wharfstandin/internal/wharflogservice/service_test.go
+++ b/wharfstandin/internal/wharflogservice/service_test.go
@@ -15,22 +15,23 @@
 	"ragwortwharf.dev/wharf/wharfstream"
 )
 
-// TestFaults switches each fault on over HTTP and sees it through the client
-// that nodes use.
+// TestFaults injects each fault over HTTP and checks the errors that the log
+// client of the nodes returns. It guards against a stand-in that ignores a
+// fault, so that other tests run without the fault that they asked for.
 func TestFaults(t *testing.T) {
 	tests := []struct {
 		name   string
 		faults string
 		rate   float64
 		err    error
-		// records is how many records stand in the log after two appends.
+		// records is the number of records in the log after two appends.
 		records int
 	}{
 		{"none", `{}`, 100, nil, 2},
 		{"down", `{"down":true}`, 100, wharfstream.ErrUnavailable, 0},
 		{"slow", `{"slow-ms":20}`, 100, nil, 2},
-		{"answers lost", `{"lose-answers":2}`, 100, wharfstream.ErrUncertain, 2},
-		{"too fast", `{}`, 0.001, wharfstream.ErrRateLimited, 0},
+		{"responses lost", `{"lose-answers":2}`, 100, wharfstream.ErrUncertain, 2},
+		{"rate limited", `{}`, 0.001, wharfstream.ErrRateLimited, 0},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
--- a/wharfstandin/internal/wharfpropagation/doc.go
+++ b/wharfstandin/internal/wharfpropagation/doc.go
@@ -1,3 +1,3 @@
-// Package wharfpropagation measures how long a change of configuration takes from
+// Package wharfpropagation measures how long a configuration change takes from
 // the log to every node.
 package wharfpropagation
--- a/wharfstandin/internal/wharftargetservice/doc.go
+++ b/wharfstandin/internal/wharftargetservice/doc.go
@@ -1,4 +1,5 @@
-// Package wharftargetservice is the stand-in for a target: a service with a
-// number of slots and a service time, that calls other services through its
-// node, counts the effects of each key, and crashes when it is told to.
+// Package wharftargetservice implements a stand-in for a target: a service with
+// a number of slots and a service time. It calls other services through its
+// node, counts how often each idempotency key took effect, and crashes on
+// request.
 package wharftargetservice
--- a/wharfstandin/internal/wharftargetservice/target.go
+++ b/wharfstandin/internal/wharftargetservice/target.go
@@ -22,79 +22,104 @@
 	"ragwortwharf.dev/wharfstandin/internal/wharfhttp"
 )
 
-// Headers that tell the target what to do with a request.
+// Request headers that control how the target handles a request.
 const (
-	// HeaderTag comes back in the answer, so that callers can tell answers
-	// apart.
+	// HeaderTag is repeated in the response, so that a caller can check that the
+	// response belongs to its request.
 	HeaderTag = "X-Tag"
-	// HeaderCrash ends the process when it is dispatched.
+	// HeaderCrash ends the process when the request arrives.
 	HeaderCrash = "X-Crash"
-	// HeaderReset breaks the connection off after the request took effect.
+	// HeaderReset aborts the connection after the request took effect, without a
+	// response.
 	HeaderReset = "X-Reset"
-	// HeaderBytes is the size of the answer's filling, in bytes.
+	// HeaderBytes is the size of the padding in the response, in bytes.
 	HeaderBytes = "X-Bytes"
-	// HeaderCut breaks the answer off in its middle.
+	// HeaderCut aborts the response after half of its body.
 	HeaderCut = "X-Cut"
 )
 
 const (
-	renewInterval = 500 * time.Millisecond
-	coldFactor    = 5
-	// leaveTime is what a leaving target gives its node before it closes.
-	leaveTime = 500 * time.Millisecond
-	crashCode = 3
+	announceInterval = 500 * time.Millisecond
+	// coldStartFactor is the factor on the service time during Config.ColdStart.
+	coldStartFactor = 5
+	// leaveDelay is the time that the node has to stop sending requests after a
+	// target has announced that it leaves, before the target shuts down.
+	leaveDelay    = 500 * time.Millisecond
+	crashExitCode = 3
 )
 
 // Config describes the target.
 type Config struct {
-	Service        string
-	Address        string
-	Slots          int
+	Service string
+	// Address is the IP:port that the target announces.
+	Address string
+	// Slots is the number of requests that the target runs at a time.
+	Slots int
+	// AnnouncedSlots is the number of slots that the target announces, which may
+	// differ from Slots.
 	AnnouncedSlots int
 	ServiceTime    time.Duration
-	ColdStart      time.Duration
-	ShedAt         int
-	Calls          []string
-	CallPath       string
-	NodeAdmin      string
-	NodeCaller     string
-	Labels         map[string]string
-	// IgnoreCancellation lets the target work on when its caller goes away.
+	// ColdStart is the time after the start during which the service time is
+	// multiplied by coldStartFactor.
+	ColdStart time.Duration
+	// ShedAt is the number of waiting requests above which the target refuses a
+	// request; 0 means that it never does.
+	ShedAt int
+	// Calls lists the services that the target calls one after the other for
+	// each request.
+	Calls []string
+	// CallPath is the path of these calls.
+	CallPath string
+	// NodeAdmin and NodeCaller are the admin URL and the caller URL of the node
+	// on this VM.
+	NodeAdmin  string
+	NodeCaller string
+	Labels     map[string]string
+	// IgnoreCancellation makes the target keep working on a request after its
+	// caller has disconnected. Its downstream calls are cancelled nevertheless.
 	IgnoreCancellation bool
 }
 
-// Control changes the target while it runs.
+// Control changes the target while it runs. A nil field changes nothing.
 type Control struct {
 	ServiceTimeMs *float64 `json:"service-time-ms,omitempty"`
-	Slots         *int     `json:"slots,omitempty"`
-	// AnnouncedSlots is what the target announces from now on.
+	// Slots is the number of slots for requests that arrive from now on.
+	// Requests that run or wait keep using the old slots.
+	Slots *int `json:"slots,omitempty"`
+	// AnnouncedSlots is the number of slots that the target announces from now
+	// on.
 	AnnouncedSlots *int `json:"false-slots,omitempty"`
-	// Silent stops the announcements.
+	// Silent stops the announcements, or resumes them if false.
 	Silent *bool `json:"silent,omitempty"`
 }
 
-// Stats are what the target has counted.
+// Stats are the counters of the target.
 type Stats struct {
-	Arrivals  int64 `json:"arrivals"`
+	// Arrivals counts the requests that the target received.
+	Arrivals int64 `json:"arrivals"`
+	// Completed counts the complete responses that the target wrote.
 	Completed int64 `json:"completed"`
-	Running   int64 `json:"running"`
-	// Effects counts how often each key took effect.
+	// Running is the number of requests that hold a slot.
+	Running int64 `json:"running"`
+	// Effects counts how often a request with each idempotency key took effect.
+	// A request without a key counts under its tag.
 	Effects map[string]int `json:"effects"`
 }
 
-// Target is the stand-in.
+// Target is a stand-in for a target. It is safe for concurrent use.
 type Target struct {
-	cfg     Config
-	started time.Time
-	admin   *resty.Client
-	caller  *http.Client
+	cfg         Config
+	started     time.Time
+	adminClient *resty.Client
+	callClient  *http.Client
 
-	mu          sync.Mutex
-	free        chan struct{}
-	serviceTime time.Duration
-	announced   int
-	silent      bool
-	effects     map[string]int
+	mu sync.Mutex
+	// freeSlots holds one element for each free slot.
+	freeSlots      chan struct{}
+	serviceTime    time.Duration
+	announcedSlots int
+	silent         bool
+	effects        map[string]int
 
 	arrivals  atomic.Int64
 	completed atomic.Int64
@@ -103,21 +128,22 @@
 	leaving   atomic.Bool
 }
 
-// New returns a target that isn't announced yet.
+// New returns a target that isn't announced yet. Run announces it.
 func New(cfg Config) *Target {
 	return &Target{
-		cfg:         cfg,
-		started:     time.Now(),
-		admin:       resty.New().SetTimeout(time.Second),
-		caller:      &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1024, DisableCompression: true}},
-		free:        slots(cfg.Slots),
-		serviceTime: cfg.ServiceTime,
-		announced:   cfg.AnnouncedSlots,
-		effects:     make(map[string]int),
+		cfg:            cfg,
+		started:        time.Now(),
+		adminClient:    resty.New().SetTimeout(time.Second),
+		callClient:     &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1024, DisableCompression: true}},
+		freeSlots:      newSlots(cfg.Slots),
+		serviceTime:    cfg.ServiceTime,
+		announcedSlots: cfg.AnnouncedSlots,
+		effects:        make(map[string]int),
 	}
 }
 
-func slots(n int) chan struct{} {
+// newSlots returns a channel that holds n free slots.
+func newSlots(n int) chan struct{} {
 	free := make(chan struct{}, n)
 	for range n {
 		free <- struct{}{}
@@ -125,7 +151,8 @@
 	return free
 }
 
-// Handler returns the routes of the target.
+// Handler returns the HTTP handler of the target: its statistics and its control
+// under /standin/, and the requests of the service on every other path.
 func (t *Target) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /standin/stats", t.stats)
@@ -134,22 +161,24 @@
 	return mux
 }
 
-// Run keeps the announcement renewed until the context ends. Then it tells the
-// node, waits for requests in flight, and stops the server.
+// Run announces the target to its node until the context ends. Then it tells
+// the node that the target leaves, waits for leaveDelay, and calls stop, which
+// stops the server.
 func (t *Target) Run(ctx context.Context, stop context.CancelFunc) {
 	defer stop()
-	t.loop(ctx)
+	t.announceLoop(ctx)
 	t.leaving.Store(true)
-	_, _ = t.admin.R().SetQueryParam("address", t.cfg.Address).Delete(t.cfg.NodeAdmin + "/wharf/v1/targets")
-	time.Sleep(leaveTime)
+	_, _ = t.adminClient.R().SetQueryParam("address", t.cfg.Address).Delete(t.cfg.NodeAdmin + "/wharf/v1/targets")
+	time.Sleep(leaveDelay)
 }
 
-// loop renews the announcement.
-func (t *Target) loop(ctx context.Context) {
-	ticker := time.NewTicker(renewInterval)
+// announceLoop announces the target every announceInterval until the context
+// ends.
+func (t *Target) announceLoop(ctx context.Context) {
+	ticker := time.NewTicker(announceInterval)
 	defer ticker.Stop()
 	for {
-		t.renew(ctx)
+		t.announce(ctx)
 		select {
 		case <-ctx.Done():
 			return
@@ -158,16 +187,18 @@
 	}
 }
 
-func (t *Target) renew(ctx context.Context) {
+// announce announces the target to its node once.
+func (t *Target) announce(ctx context.Context) {
 	t.mu.Lock()
-	silent, announced := t.silent, t.announced
+	silent, announcedSlots := t.silent, t.announcedSlots
 	t.mu.Unlock()
 	if silent {
 		return
 	}
-	// The node may start later; the next renewal tries again.
-	_, _ = t.admin.R().SetContext(ctx).SetBody(wharfmember.Target{
-		Service: t.cfg.Service, Address: t.cfg.Address, Slots: announced, Labels: t.cfg.Labels,
+	// An error is ignored: the node may start later, and the next announcement
+	// tries again.
+	_, _ = t.adminClient.R().SetContext(ctx).SetBody(wharfmember.Target{
+		Service: t.cfg.Service, Address: t.cfg.Address, Slots: announcedSlots, Labels: t.cfg.Labels,
 	}).Post(t.cfg.NodeAdmin + "/wharf/v1/targets")
 }
 
@@ -191,10 +222,10 @@
 		t.serviceTime = time.Duration(*c.ServiceTimeMs * float64(time.Millisecond))
 	}
 	if c.Slots != nil {
-		t.free = slots(*c.Slots)
+		t.freeSlots = newSlots(*c.Slots)
 	}
 	if c.AnnouncedSlots != nil {
-		t.announced = *c.AnnouncedSlots
+		t.announcedSlots = *c.AnnouncedSlots
 	}
 	if c.Silent != nil {
 		t.silent = *c.Silent
@@ -202,11 +233,11 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// serve does the work of one request.
+// serve handles one request of the service.
 func (t *Target) serve(w http.ResponseWriter, r *http.Request) {
 	t.arrivals.Add(1)
 	if r.Header.Get(HeaderCrash) != "" {
-		os.Exit(crashCode)
+		os.Exit(crashExitCode)
 	}
 	if _, err := io.Copy(io.Discard, r.Body); err != nil {
 		http.Error(w, "body broke off", http.StatusBadRequest)
@@ -214,32 +245,33 @@
 	}
 	ctx := t.workContext(r)
 	t.mu.Lock()
-	free, serviceTime := t.free, t.serviceTime
+	freeSlots, serviceTime := t.freeSlots, t.serviceTime
 	t.mu.Unlock()
-	if !t.acquire(ctx, free) {
+	if !t.acquire(ctx, freeSlots) {
 		refuse(w, wharfoutcome.ReasonOverload)
 		return
 	}
-	defer func() { free <- struct{}{} }()
+	defer func() { freeSlots <- struct{}{} }()
 	t.running.Add(1)
 	defer t.running.Add(-1)
 	if time.Since(t.started) < t.cfg.ColdStart {
-		serviceTime *= coldFactor
+		serviceTime *= coldStartFactor
 	}
 	if !wharftimer.Sleep(ctx, serviceTime) {
 		return
 	}
-	if !t.callOn(w, r) {
+	if !t.callDownstream(w, r) {
 		return
 	}
-	t.takeEffect(r)
+	t.recordEffect(r)
 	if r.Header.Get(HeaderReset) != "" {
 		panic(http.ErrAbortHandler)
 	}
-	t.answer(w, r)
+	t.respond(w, r)
 }
 
-// workContext bounds the work on a request.
+// workContext returns the context for the work on a request. It ends when the
+// caller disconnects, unless the target ignores cancellation.
 func (t *Target) workContext(r *http.Request) context.Context {
 	if t.cfg.IgnoreCancellation {
 		return context.WithoutCancel(r.Context())
@@ -247,11 +279,11 @@
 	return r.Context()
 }
 
-// acquire waits for a slot. It is false if the target sheds the request or the
-// caller goes away.
-func (t *Target) acquire(ctx context.Context, free chan struct{}) bool {
+// acquire waits for a free slot. It returns false if the target sheds the
+// request or the context ends first.
+func (t *Target) acquire(ctx context.Context, freeSlots chan struct{}) bool {
 	select {
-	case <-free:
+	case <-freeSlots:
 		return true
 	default:
 	}
@@ -260,14 +292,16 @@
 		return false
 	}
 	select {
-	case <-free:
+	case <-freeSlots:
 		return true
 	case <-ctx.Done():
 		return false
 	}
 }
 
-func (t *Target) takeEffect(r *http.Request) {
+// recordEffect counts the effect of a request under its idempotency key, or
+// under its tag if it has no key. A GET request has no effect.
+func (t *Target) recordEffect(r *http.Request) {
 	key := r.Header.Get(wharfwire.HeaderIdempotencyKey)
 	if key == "" {
 		key = r.Header.Get(HeaderTag)
@@ -280,9 +314,11 @@
 	t.effects[key]++
 }
 
-// callOn calls the services below in turn. When one fails, nothing has taken
-// effect here, so the target passes on what it was told.
-func (t *Target) callOn(w http.ResponseWriter, r *http.Request) bool {
+// callDownstream calls the services in Config.Calls one after the other and
+// reports whether all calls succeeded. After a failed call it writes the
+// response: the request has had no effect at this target yet, so the target can
+// forward the outcome of that call.
+func (t *Target) callDownstream(w http.ResponseWriter, r *http.Request) bool {
 	for _, service := range t.cfg.Calls {
 		if !t.callService(w, r, service) {
 			return false
@@ -291,17 +327,19 @@
 	return true
 }
 
+// callService calls one service through the node and reports whether the call
+// succeeded. If not, it writes the response to the caller.
 func (t *Target) callService(w http.ResponseWriter, r *http.Request, service string) bool {
-	q, err := http.NewRequestWithContext(r.Context(), http.MethodGet, t.cfg.NodeCaller+t.cfg.CallPath, http.NoBody)
+	req, err := http.NewRequestWithContext(r.Context(), http.MethodGet, t.cfg.NodeCaller+t.cfg.CallPath, http.NoBody)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return false
 	}
-	q.Header.Set(wharfwire.HeaderService, service)
-	q.Header.Set(wharfwire.HeaderContext, r.Header.Get(wharfwire.HeaderContext))
-	q.Header.Set(wharfwire.HeaderTimeout, r.Header.Get(wharfwire.HeaderTimeout))
-	q.Header.Set(HeaderTag, r.Header.Get(HeaderTag))
-	response, err := t.caller.Do(q)
+	req.Header.Set(wharfwire.HeaderService, service)
+	req.Header.Set(wharfwire.HeaderContext, r.Header.Get(wharfwire.HeaderContext))
+	req.Header.Set(wharfwire.HeaderTimeout, r.Header.Get(wharfwire.HeaderTimeout))
+	req.Header.Set(HeaderTag, r.Header.Get(HeaderTag))
+	response, err := t.callClient.Do(req)
 	if err != nil {
 		http.Error(w, "call to "+service+" failed", http.StatusBadGateway)
 		return false
@@ -311,12 +349,14 @@
 	if err == nil && response.StatusCode == http.StatusOK {
 		return true
 	}
-	passOn(w, response, service)
+	forwardFailure(w, response, service)
 	return false
 }
 
-// passOn reports the failure of a call below.
-func passOn(w http.ResponseWriter, response *http.Response, service string) {
+// forwardFailure responds to a request whose downstream call failed. If that
+// call was not run, the target refuses the request with the same reason and
+// Retry-After header. Otherwise it responds with status 502.
+func forwardFailure(w http.ResponseWriter, response *http.Response, service string) {
 	if response.Header.Get(wharfwire.HeaderOutcome) != wharfoutcome.NotRun.String() {
 		http.Error(w, "call to "+service+" failed", http.StatusBadGateway)
 		return
@@ -325,31 +365,33 @@
 	refuse(w, wharfoutcome.Reason(response.Header.Get(wharfwire.HeaderReason)))
 }
 
+// refuse responds that the request was not run, for a reason.
 func refuse(w http.ResponseWriter, reason wharfoutcome.Reason) {
 	w.Header().Set(wharfwire.HeaderOutcome, wharfoutcome.NotRun.String())
 	w.Header().Set(wharfwire.HeaderReason, string(reason))
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// answer sends the tag, the filling, and the tag again, so that a caller can
-// tell a whole answer to its own request from anything else.
-func (t *Target) answer(w http.ResponseWriter, r *http.Request) {
+// respond sends the tag, the padding, and the tag again, so that a caller can
+// distinguish a complete response to its own request from any other response.
+func (t *Target) respond(w http.ResponseWriter, r *http.Request) {
 	size, _ := strconv.Atoi(r.Header.Get(HeaderBytes))
 	tag := r.Header.Get(HeaderTag)
-	whole := fmt.Sprintf("%s %s\n%s\n%s\n", t.cfg.Service, tag, strings.Repeat("x", max(size, 0)), tag)
-	w.Header().Set("Content-Length", strconv.Itoa(len(whole)))
+	body := fmt.Sprintf("%s %s\n%s\n%s\n", t.cfg.Service, tag, strings.Repeat("x", max(size, 0)), tag)
+	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	w.Header().Set(HeaderTag, tag)
 	if r.Header.Get(HeaderCut) != "" {
-		_, _ = io.WriteString(w, whole[:len(whole)/2])
+		_, _ = io.WriteString(w, body[:len(body)/2])
 		_ = http.NewResponseController(w).Flush()
 		panic(http.ErrAbortHandler)
 	}
-	if _, err := io.WriteString(w, whole); err == nil {
+	if _, err := io.WriteString(w, body); err == nil {
 		t.completed.Add(1)
 	}
 }
 
-// IsComplete reports whether an answer is that of a request with a tag.
+// IsComplete reports whether a response body is the complete response to the
+// request with a tag.
 func IsComplete(body []byte, tag string) bool {
 	text := string(body)
 	first, _, _ := strings.Cut(text, "\n")
--- a/wharfstandin/load.go
+++ b/wharfstandin/load.go
@@ -9,47 +9,48 @@
 	"ragwortwharf.dev/wharfstandin/internal/wharfload"
 )
 
-// loadCommand puts load on nodes and prints what the callers saw.
+// loadCommand sends load to nodes and prints what the callers saw.
 type loadCommand struct {
-	Entries  []string      `default:"http://127.0.0.1:7000" env:"WHARF_ENTRIES" help:"Caller URLs of nodes; requests go to them in turn."`
+	Entries  []string      `default:"http://127.0.0.1:7000" env:"WHARF_ENTRIES" help:"Caller URLs of the nodes; callers use them in rotation."`
 	Service  string        `required:"" env:"WHARF_SERVICE" help:"Service to call."`
-	Classes  []string      `default:"reads:1:GET:/work" env:"WHARF_CLASSES" help:"Kinds of requests as NAME:SHARE:METHOD:PATH[:BYTES]."`
-	Rate     float64       `default:"100" env:"WHARF_RATE" help:"User requests a second."`
+	Classes  []string      `default:"reads:1:GET:/work" env:"WHARF_CLASSES" help:"Classes of requests as NAME:SHARE:METHOD:PATH[:BYTES]."`
+	Rate     float64       `default:"100" env:"WHARF_RATE" help:"User requests per second."`
 	Duration time.Duration `default:"10s" env:"WHARF_DURATION" help:"Length of the run."`
-	Timeout  time.Duration `default:"2s" env:"WHARF_TIMEOUT" help:"Time that a caller waits for a user request."`
-	Resends  int           `default:"0" env:"WHARF_RESENDS" help:"How often a caller sends a failed request again."`
-	Polite   bool          `env:"WHARF_POLITE" help:"Callers wait as long as retry-after says."`
-	Keys     bool          `default:"true" negatable:"" env:"WHARF_KEYS" help:"Callers give requests that aren't safe an idempotency key."`
+	Timeout  time.Duration `default:"2s" env:"WHARF_TIMEOUT" help:"Timeout of a user request, all its resends included."`
+	Resends  int           `default:"0" env:"WHARF_RESENDS" help:"Maximum number of resends of a failed user request."`
+	Polite   bool          `env:"WHARF_POLITE" help:"Callers wait for the time of the retry-after hint before they resend."`
+	Keys     bool          `default:"true" negatable:"" env:"WHARF_KEYS" help:"Callers send an idempotency key with each request other than a GET."`
 
-	TroubleAt  time.Duration `env:"WHARF_TROUBLE_AT" help:"When the trouble begins."`
-	TroubleFor time.Duration `env:"WHARF_TROUBLE_FOR" help:"How long the trouble lasts; 0 for none."`
-	Surge      float64       `default:"1" env:"WHARF_SURGE" help:"Factor on the rate during the trouble."`
-	Slow       []string      `env:"WHARF_SLOW" help:"URLs of stand-in targets that are slow during the trouble."`
-	SlowFrom   float64       `default:"10" env:"WHARF_SLOW_FROM" help:"Their usual service time in milliseconds."`
-	SlowTo     float64       `default:"100" env:"WHARF_SLOW_TO" help:"Their service time during the trouble in milliseconds."`
+	TroubleAt  time.Duration `env:"WHARF_TROUBLE_AT" help:"Time from the start of the run to the start of the disruption."`
+	TroubleFor time.Duration `env:"WHARF_TROUBLE_FOR" help:"Length of the disruption; 0 for none."`
+	Surge      float64       `default:"1" env:"WHARF_SURGE" help:"Factor on the rate during the disruption."`
+	Slow       []string      `env:"WHARF_SLOW" help:"URLs of stand-in targets that are slow during the disruption."`
+	SlowFrom   float64       `default:"10" env:"WHARF_SLOW_FROM" help:"Service time of the --slow targets outside the disruption, in milliseconds."`
+	SlowTo     float64       `default:"100" env:"WHARF_SLOW_TO" help:"Service time of the --slow targets during the disruption, in milliseconds."`
 	Targets    []string      `env:"WHARF_TARGETS" help:"URLs of stand-in targets whose arrivals are counted."`
-	Capacity   float64       `env:"WHARF_CAPACITY" help:"User requests a second that the capacity left during the trouble allows."`
+	Capacity   float64       `env:"WHARF_CAPACITY" help:"User requests per second that the remaining capacity can serve during the disruption."`
 
 	Name string `default:"load" env:"WHARF_NAME" help:"Name of the run in the report."`
-	JSON string `env:"WHARF_JSON" help:"File that the report is written to as JSON."`
+	JSON string `env:"WHARF_JSON" help:"File to write the report to as JSON."`
 }
 
-// Run runs the load to its end, or to that of the context.
+// Run generates the load until the run or the context ends. Then it prints the
+// report, and writes it to a file if --json is set.
 func (c *loadCommand) Run(ctx context.Context) error {
-	var faults wharfcli.Issues
+	var issues wharfcli.Issues
 	for _, e := range c.Entries {
-		faults.URL("entries", e)
+		issues.URL("entries", e)
 	}
 	classes, err := wharfload.ParseClasses(c.Classes)
 	if err != nil {
-		faults.Add("classes", "%v", err)
+		issues.Add("classes", "%v", err)
 	}
 	if c.Rate <= 0 {
-		faults.Add("rate", "%v is not above 0", c.Rate)
+		issues.Add("rate", "%v is not above 0", c.Rate)
 	}
-	faults.AtLeast("duration", c.Duration, time.Second)
-	if len(faults) > 0 {
-		return wharfcli.ExitError{Code: wharfcli.ExitUsage, Err: faults}
+	issues.AtLeast("duration", c.Duration, time.Second)
+	if len(issues) > 0 {
+		return wharfcli.ExitError{Code: wharfcli.ExitUsage, Err: issues}
 	}
 	plan := wharfload.Plan{
 		Name: c.Name, Entries: c.Entries, Service: c.Service, Classes: classes, Rate: c.Rate, Duration: c.Duration,
--- a/wharfstandin/main.go
+++ b/wharfstandin/main.go
@@ -8,12 +8,12 @@
 	"ragwortwharf.dev/wharf/wharfcli"
 )
 
-// commands are the stand-ins.
+// commands lists the commands of wharfstandin.
 type commands struct {
-	Log     logCommand       `cmd:"" help:"Stand in for the platform's append-only log."`
-	Target  targetCommand    `cmd:"" help:"Stand in for a target."`
-	Load    loadCommand      `cmd:"" help:"Put load on nodes and measure what callers see."`
-	Spread  spreadCommand    `cmd:"" help:"Measure how long changes of configuration take to be in force everywhere."`
+	Log     logCommand       `cmd:"" help:"Run a stand-in for the platform's append-only log."`
+	Target  targetCommand    `cmd:"" help:"Run a stand-in for a target."`
+	Load    loadCommand      `cmd:"" help:"Send load to nodes and measure what the callers see."`
+	Spread  spreadCommand    `cmd:"" help:"Measure how long configuration changes take to reach every node."`
 	Version kong.VersionFlag `help:"Print the version and exit."`
 }
 
@@ -21,7 +21,7 @@
 	os.Exit(run())
 }
 
-// run returns the exit code.
+// run executes the command that the arguments name and returns the exit code.
 func run() int {
 	return wharfcli.Run("wharfstandin", "Stand-ins for tests and experiments.", &commands{})
 }
--- a/wharfstandin/spread.go
+++ b/wharfstandin/propagation.go
@@ -9,24 +9,25 @@
 	"ragwortwharf.dev/wharfstandin/internal/wharfpropagation"
 )
 
-// spreadCommand measures how long changes take to be in force everywhere.
+// spreadCommand measures how long configuration changes take to reach every
+// node.
 type spreadCommand struct {
 	LogURL  string        `required:"" env:"WHARF_LOG_URL" help:"URL of the log."`
 	Nodes   []string      `required:"" env:"WHARF_NODES" help:"Admin URLs of the nodes."`
 	Changes int           `default:"20" env:"WHARF_CHANGES" help:"Number of changes."`
 	Pause   time.Duration `default:"500ms" env:"WHARF_PAUSE" help:"Pause between changes."`
-	Limit   time.Duration `default:"30s" env:"WHARF_LIMIT" help:"Longest wait for one change."`
+	Limit   time.Duration `default:"30s" env:"WHARF_LIMIT" help:"Maximum time for one change to reach every node."`
 }
 
-// Run publishes changes one by one and prints how long each took.
+// Run publishes changes one by one and prints the median and the longest time.
 func (c *spreadCommand) Run(ctx context.Context) error {
-	var faults wharfcli.Issues
-	faults.URL("log-url", c.LogURL)
+	var issues wharfcli.Issues
+	issues.URL("log-url", c.LogURL)
 	for _, n := range c.Nodes {
-		faults.URL("nodes", n)
+		issues.URL("nodes", n)
 	}
-	if len(faults) > 0 {
-		return wharfcli.ExitError{Code: wharfcli.ExitUsage, Err: faults}
+	if len(issues) > 0 {
+		return wharfcli.ExitError{Code: wharfcli.ExitUsage, Err: issues}
 	}
 	report, err := wharfpropagation.Run(ctx, wharfpropagation.Plan{
 		LogURL: c.LogURL, Nodes: c.Nodes, Changes: c.Changes, Pause: c.Pause, Limit: c.Limit,
--- a/wharfstandin/target.go
+++ b/wharfstandin/target.go
@@ -13,30 +13,31 @@
 type targetCommand struct {
 	Listen      string            `default:"127.0.0.1:7500" env:"WHARF_LISTEN" help:"IP:port to listen on."`
 	Service     string            `required:"" env:"WHARF_SERVICE" help:"Service that the target belongs to."`
-	Slots       int               `default:"50" env:"WHARF_SLOTS" help:"Requests that run at a time."`
-	Announce    int               `env:"WHARF_ANNOUNCE_SLOTS" help:"Slots to announce; --slots if left out."`
-	ServiceTime time.Duration     `default:"10ms" env:"WHARF_SERVICE_TIME" help:"Time that a request takes."`
+	Slots       int               `default:"50" env:"WHARF_SLOTS" help:"Requests that the target runs at a time."`
+	Announce    int               `env:"WHARF_ANNOUNCE_SLOTS" help:"Slots to announce; the value of --slots if 0."`
+	ServiceTime time.Duration     `default:"10ms" env:"WHARF_SERVICE_TIME" help:"Service time of a request."`
 	ColdStart   time.Duration     `env:"WHARF_COLD_START" help:"Time after the start during which requests take five times as long."`
-	ShedAt      int               `env:"WHARF_SHED_AT" help:"Waiting requests above which the target refuses; 0 never does."`
-	Calls       []string          `env:"WHARF_CALLS" help:"Services to call in turn for each request."`
+	ShedAt      int               `env:"WHARF_SHED_AT" help:"Number of waiting requests above which the target refuses requests; 0 for no limit."`
+	Calls       []string          `env:"WHARF_CALLS" help:"Services to call one after the other for each request."`
 	CallPath    string            `default:"/work" env:"WHARF_CALL_PATH" help:"Path of the calls to other services."`
 	NodeAdmin   string            `default:"http://127.0.0.1:7002" env:"WHARF_NODE_ADMIN" help:"Admin URL of the node on this VM."`
 	NodeCaller  string            `default:"http://127.0.0.1:7000" env:"WHARF_NODE_CALLER" help:"Caller URL of the node on this VM."`
-	Ignore      bool              `name:"ignore-cancellation" env:"WHARF_IGNORE_CANCELLATION" help:"Work on when the caller goes away."`
+	Ignore      bool              `name:"ignore-cancellation" env:"WHARF_IGNORE_CANCELLATION" help:"Keep working on a request after its caller has disconnected."`
 	Labels      map[string]string `env:"WHARF_LABELS" help:"Labels to announce."`
 }
 
-// Run serves until the context ends, and then leaves as planned.
+// Run serves until the context ends. Then the target leaves its node, and the
+// server shuts down.
 func (c *targetCommand) Run(ctx context.Context) error {
-	var faults wharfcli.Issues
-	faults.Address("listen", c.Listen)
-	faults.URL("node-admin", c.NodeAdmin)
-	faults.URL("node-caller", c.NodeCaller)
+	var issues wharfcli.Issues
+	issues.Address("listen", c.Listen)
+	issues.URL("node-admin", c.NodeAdmin)
+	issues.URL("node-caller", c.NodeCaller)
 	if c.Slots < 1 {
-		faults.Add("slots", "%d is less than 1", c.Slots)
+		issues.Add("slots", "%d is less than 1", c.Slots)
 	}
-	if len(faults) > 0 {
-		return wharfcli.ExitError{Code: wharfcli.ExitUsage, Err: faults}
+	if len(issues) > 0 {
+		return wharfcli.ExitError{Code: wharfcli.ExitUsage, Err: issues}
 	}
 	if c.Announce == 0 {
 		c.Announce = c.Slots
