--- a/wharfnode/internal/wharfproxy/attempt.go
+++ b/wharfnode/internal/wharfproxy/attempt.go
@@ -33,7 +33,7 @@
 	retried bool
 	// attemptsLeft is the number of delegated attempts that the node returned.
 	attemptsLeft int
-	// routing is what the attempt means to the balancer.
+	// routing is the result of the attempt that is passed to the balancer.
 	routing wharfrouting.Result
 	latency time.Duration
 	// report is the load report of the target, nil if the node sent none.
@@ -132,8 +132,11 @@
 	return result
 }
 
-// routingResult returns what the reason of a failure means to the balancer, or
-// fallback for all other reasons.
+// routingResult returns the result for the balancer that follows from the reason of
+// a failure, or fallback for all other reasons. ReasonUnreachable comes from the
+// target's node here and means that this node could not connect to its target. The
+// balancer ejects a target at once for wharfrouting.Unreachable; the same applies to
+// a target that its node does not have or that is unresponsive.
 func routingResult(reason wharfoutcome.Reason, fallback wharfrouting.Result) wharfrouting.Result {
 	switch reason {
 	case wharfoutcome.ReasonTargetCrashed, wharfoutcome.ReasonUnreachable:
@@ -182,7 +185,7 @@
 	}
 	result.outcome = wharfoutcome.Uncertain(wharfoutcome.ReasonAnswerLost)
 	if errors.Is(context.Cause(x.ctx), wharfliveness.ErrUnresponsive) {
-		// A query to the unresponsive node would take just as long to fail.
+		// A query to the unresponsive node would fail only at its timeout.
 		return result
 	}
 	var aborted *wharftransport.AbortedError
@@ -216,9 +219,9 @@
 // resolveTimeout bounds the query about a lost response.
 const resolveTimeout = 500 * time.Millisecond
 
-// resolve asks the target's node about the generated key of the attempt. The
-// query closes the key: if the request has not been dispatched yet, it never
-// will be, and the outcome is that it did not run.
+// resolve asks the target's node about the generated key of the attempt. If the
+// node has not dispatched the request, it closes the key and never will, so the
+// outcome is that the request did not run.
 func (x *transfer) resolve(o wharfoutcome.Outcome) wharfoutcome.Outcome {
 	ctx, cancel := context.WithTimeout(x.call.ctx, resolveTimeout)
 	defer cancel()
--- a/wharfnode/internal/wharfproxy/grant.go
+++ b/wharfnode/internal/wharfproxy/grant.go
@@ -9,20 +9,22 @@
 // grant is the source of the attempts of a request.
 type grant interface {
 	// take spends one attempt and returns how many more are delegated to the
-	// target's node. It returns false if no attempt is left.
+	// target's node. The calls that the target makes to serve the request may use
+	// these. take returns false if no attempt is left.
 	take() (delegated int, ok bool)
 	// refundUnused adds the delegated attempts that the node returned unused.
 	refundUnused(delegated, returned int)
 	// refund takes back an attempt that was never sent, and what was delegated
 	// with it.
 	refund(delegated int)
-	// begin and end record the start and the result of the request for the call
-	// that it is made for.
+	// begin records in the ledger entry of the parent call that the request
+	// starts, and end how it ended. They do nothing for a client request.
 	begin()
 	end(result wharfbudget.DownstreamResult)
 }
 
-// rootGrant is the grant of a client request that enters at this node.
+// rootGrant is the grant of a client request that this node received from its
+// caller.
 type rootGrant struct {
 	grant wharfbudget.Grant
 }
--- a/wharfnode/internal/wharfproxy/identify.go
+++ b/wharfnode/internal/wharfproxy/identify.go
@@ -30,7 +30,8 @@
 }
 
 // continueRequest links a call made by the service on this VM to its parent, the
-// call that the service is serving.
+// call that the service is serving. The node sent the encoded context to the service
+// with the parent call.
 func (p *Proxy) continueRequest(c *call, encoded string) (wharfoutcome.Outcome, bool) {
 	parsed, err := wharfwire.ParseContext(encoded)
 	if err != nil {
@@ -39,7 +40,9 @@
 	id := wharfbudget.GrantID(parsed.Grant)
 	parent, ok := p.Ledger.Get(id)
 	if !ok || parent.Request != parsed.RequestID {
-		// The parent call has ended or was never served here.
+		// The parent call has ended, was never served here or is part of another
+		// request. So the ledger has no grant from which this call may take an
+		// attempt.
 		return wharfoutcome.Refuse(wharfoutcome.ReasonAttemptsSpent), false
 	}
 	if parent.Depth > wharfwire.MaxDepth {
--- a/wharfnode/internal/wharfproxy/proxy.go
+++ b/wharfnode/internal/wharfproxy/proxy.go
@@ -19,7 +19,8 @@
 	"ragwortwharf.dev/wharfnode/wharfsettings"
 )
 
-// consulter queries a node about a key, which closes the key on that node.
+// consulter asks a node for its entry of a key. The node closes the key if it has
+// dispatched no request with it.
 type consulter interface {
 	Consult(ctx context.Context, owner wharfidempotency.Owner, id wharfidempotency.KeyID) (wharfidempotency.KeyEntry, error)
 }
@@ -32,8 +33,10 @@
 // Proxy is the caller's side of a node. It is safe for concurrent use once its
 // exported fields are set.
 type Proxy struct {
-	View       *wharfview.View
-	Transport  *wharftransport.Client
+	View      *wharfview.View
+	Transport *wharftransport.Client
+	// Ledger holds the grants of the calls that the targets on this VM are
+	// serving.
 	Ledger     *wharfbudget.Ledger
 	Quarantine *wharfquarantine.List
 	Consulter  consulter
@@ -43,13 +46,16 @@
 	Protocol     wharfprotocol.CallerProtocol
 	// RepeatLimit limits how often requests reach a target more than once.
 	RepeatLimit wharfbudget.RepeatLimit
-	Variant     wharfsettings.Variant
-	Log         wharfevents.Log
-	Metrics     wharfevents.Metrics
+	// Variant selects between alternative algorithms.
+	Variant wharfsettings.Variant
+	Log     wharfevents.Log
+	Metrics wharfevents.Metrics
 
-	services     serviceStates
-	roundRobins  roundRobins
-	retryBudget  wharfbudget.RetryBudget
+	services    serviceStates
+	roundRobins roundRobins
+	retryBudget wharfbudget.RetryBudget
+	// safeRequests holds the fingerprints of requests that completed without a
+	// crash.
 	safeRequests wharfquarantine.SafeSet
 	calls        atomic.Int64
 }
@@ -63,13 +69,18 @@
 	deadline time.Time
 
 	// hints holds what the caller's headers state about the request.
-	hints     wharfprotocol.Request
-	service   string
-	caller    string
-	key       string
+	hints   wharfprotocol.Request
+	service string
+	caller  string
+	// key is the caller's idempotency key, empty if there is none.
+	key string
+	// requestID is the id of the client request. All calls that are made to serve
+	// it have the same id.
 	requestID string
-	depth     int
-	grant     grant
+	// depth is the number of calls between the client request and this one. It is
+	// zero for a client request and for a call without a context.
+	depth int
+	grant grant
 	// parent is the call that the service on this VM was serving when it made
 	// this one. It is zero for a client request.
 	parent   wharfbudget.ServedCall
@@ -82,8 +93,9 @@
 	fingerprint wharfquarantine.Fingerprint
 }
 
-// route returns the name under which admission levels are kept: that of the
-// matching request document or route, or else the method.
+// route returns the name under which the admission levels for the request are
+// stored: the name of the matching route or configuration document of kind
+// request, or else the method.
 func (c *call) route() string {
 	if c.policy.Request != "" {
 		return c.policy.Request
--- a/wharfnode/internal/wharfproxy/respond.go
+++ b/wharfnode/internal/wharfproxy/respond.go
@@ -31,7 +31,8 @@
 	}
 	if head.GetStatus() >= http.StatusInternalServerError {
 		// An error response arrives faster than a successful one. Its low
-		// latency must not attract requests to the target.
+		// latency must not attract requests to the target. For ResponseLost the
+		// balancer ignores the latency and raises the cost of the target.
 		result.routing = wharfrouting.ResponseLost
 	}
 	buffered := responseBody{stream: x.stream}
--- a/wharfnode/internal/wharfproxy/route.go
+++ b/wharfnode/internal/wharfproxy/route.go
@@ -12,13 +12,13 @@
 )
 
 const (
-	// refusedTries is the number of attempts that may be refused, in addition
-	// to those at the targets that the request may be sent to. A refusal costs
-	// one round trip between nodes.
+	// refusedTries is how many more attempts than targets a request may make. An
+	// attempt that a node refuses does not reach a target and so does not count
+	// towards the limit of targets. A refusal costs one round trip between nodes.
 	refusedTries = 3
 	// unconfiguredRetryAfter is the retry-after hint while this node has no
 	// configuration. A node gets one within a few round trips once it reaches
-	// the log or a peer.
+	// the platform's log or another node.
 	unconfiguredRetryAfter = 500 * time.Millisecond
 )
 
--- a/wharfnode/internal/wharfproxy/routes.go
+++ b/wharfnode/internal/wharfproxy/routes.go
@@ -93,7 +93,8 @@
 }
 
 // countRequest counts a request for the service, which raises the number of
-// repeats allowed.
+// repeats allowed. A repeat is an attempt for a request that an earlier attempt may
+// have brought to a target.
 func (s *serviceState) countRequest(l wharfbudget.RepeatLimit) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -109,7 +110,7 @@
 }
 
 // levelReduction returns how far the admission level of the service for a route
-// is below LevelOpen.
+// is below LevelOpen, the level at which every request is admitted.
 func (s *serviceState) levelReduction(route string) uint16 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/wharfnode/internal/wharfproxy/send.go
+++ b/wharfnode/internal/wharfproxy/send.go
@@ -15,7 +15,7 @@
 // "plain", the baseline variant.
 const plainTries = 3
 
-// ownerTries is the number of attempts at the owner of a key.
+// ownerTries is the number of attempts at the owner of an idempotency key.
 const ownerTries = 3
 
 // attemptLoop makes the attempts of one request and holds their state.
@@ -31,8 +31,8 @@
 	// arrivals counts the attempts that a target received or may have received.
 	arrivals int
 	last     attemptResult
-	// uncertain is the outcome of the last attempt that may have run, valid if
-	// mayHaveRun is true.
+	// uncertain is the outcome of the last attempt in which the request may have
+	// run, valid if mayHaveRun is true.
 	uncertain  wharfoutcome.Outcome
 	mayHaveRun bool
 }
@@ -54,8 +54,8 @@
 	p.refuse(c, s.outcome())
 }
 
-// outcome returns the outcome over all attempts. If one of them may have run, a
-// later refusal does not make the request one that has not run.
+// outcome returns the outcome over all attempts. If the request may have run in one
+// of them, the outcome stays Unknown even if a later attempt was refused.
 func (s *attemptLoop) outcome() wharfoutcome.Outcome {
 	if s.mayHaveRun && s.last.outcome.Kind == wharfoutcome.NotRun {
 		return s.uncertain.WithRetryAfter(s.last.outcome.RetryAfter)
@@ -168,7 +168,10 @@
 }
 
 // observeQueueDelay records the queue delay of a call made by a target on this
-// VM. A call that was rejected counts with the maximum delay.
+// VM. A call that was rejected counts with the maximum delay. Client requests don't
+// count: a depth above zero shows that the call has a parent call, and for a call
+// without a context the called node reports in FromService whether services make
+// the calls of this route.
 func (s *attemptLoop) observeQueueDelay() {
 	report := s.last.report
 	if report == nil || !report.FromService && s.call.depth == 0 {
@@ -202,8 +205,8 @@
 	reason := s.last.outcome.Reason
 	f := wharfbudget.Failure{
 		Outcome: s.last.outcome,
-		// It is safe to ask the owner of a key again, because the owner runs the
-		// key once.
+		// It is safe to send the request to the owner of its key again, because the
+		// owner runs at most one request with the key.
 		Idempotent:    c.policy.Idempotent || request.PinnedNode != "" && s.last.responseLost,
 		Retried:       s.last.retried,
 		BodyConsumed:  c.body.restSent,
--- a/wharfnode/internal/wharfproxy/transfer.go
+++ b/wharfnode/internal/wharfproxy/transfer.go
@@ -93,6 +93,8 @@
 			x.proxy.Log.Emit(wharfevents.LateAnswer, wharfevents.Field{Name: "target", Value: x.target.Address})
 			continue
 		}
+		// A completed request has a reason if its response was not stored, so that
+		// there is nothing to deliver.
 		if wharfoutcome.Kind(head.GetOutcome()) != wharfoutcome.Completed || head.GetReason() != "" {
 			return x.refusedResult(frame)
 		}
