--- a/wharfnode/internal/wharftarget/backpressure.go
+++ b/wharfnode/internal/wharftarget/backpressure.go
@@ -10,7 +10,8 @@
 
 const (
 	// minRetryAfter is the minimum retry-after hint for a rejected client request,
-	// before jitter. The admitted share changes more slowly than that.
+	// before jitter. The admitted share changes more slowly than that, so that an
+	// earlier retry would find almost the same share.
 	minRetryAfter = 300 * time.Millisecond
 	// maxRetryAfter is the maximum retry-after hint, before jitter. Client requests
 	// of all ranks are admitted again within this time after congestion.
@@ -20,8 +21,8 @@
 )
 
 // BackpressureGuard rejects client requests while the downstream calls of this node's
-// targets meet queue delay. A node usually has one target, so the delays of all calls
-// are combined. The zero BackpressureGuard admits everything. It is safe for
+// targets are delayed in queues. A node usually has one target, so the delays of all
+// calls are combined. The zero BackpressureGuard admits everything. It is safe for
 // concurrent use.
 type BackpressureGuard struct {
 	// Enabled turns the rejection of client requests on. It is set before the first
--- a/wharfnode/internal/wharftarget/crash.go
+++ b/wharfnode/internal/wharftarget/crash.go
@@ -48,8 +48,8 @@
 }
 
 // truncationOutcome returns the outcome of a dispatch whose response was truncated.
-// senderLost tells that sending the response failed. It also reports a crash of the
-// target if nothing else explains the failure.
+// senderLost is true if sending the response failed. truncationOutcome also reports a
+// crash of the target if nothing else explains the failure.
 func (s *Server) truncationOutcome(c *call, ctx context.Context, senderLost bool) wharfoutcome.Outcome {
 	reason := c.endReason(ctx)
 	if reason == wharfoutcome.ReasonNone && senderLost {
--- a/wharfnode/internal/wharftarget/dispatch.go
+++ b/wharfnode/internal/wharftarget/dispatch.go
@@ -116,6 +116,8 @@
 	switch v := s.Protocol.Classify(response, c.dispatchInfo); v.Kind {
 	case wharfoutcome.NotRun:
 		s.closeGrant(c)
+		// After a refused downstream call, the refusal of the target doesn't show
+		// that the target itself is overloaded.
 		if !c.downstream.DownstreamRefused {
 			result = wharfadmission.Shed
 		}
@@ -123,6 +125,7 @@
 		s.finishKey(c, o, nil)
 		return o, false
 	case wharfoutcome.Unknown:
+		// The response belongs to another request or doesn't come from the target.
 		// Later responses on this connection could not be matched to their requests
 		// either.
 		_ = conn.Close()
@@ -180,8 +183,11 @@
 	return r
 }
 
-// urlOf returns the URL of a request to a target. It keeps the path as the caller
-// wrote it, without decoding and encoding it again.
+// urlOf returns the URL of a request to a target. The opaque form keeps the URI as
+// the caller wrote it, without decoding and encoding it again. net/http would send an
+// opaque URI that begins with // as an absolute URI, whose host is the first path
+// segment, so such a URI is set as path and query instead. net/http encodes this path
+// again.
 func urlOf(address, uri string) *url.URL {
 	u := &url.URL{Scheme: "http", Host: address}
 	if strings.HasPrefix(uri, "//") {
--- a/wharfnode/internal/wharftarget/ownership.go
+++ b/wharfnode/internal/wharftarget/ownership.go
@@ -44,7 +44,8 @@
 	}
 }
 
-// decideKey decides on a call with a caller's key.
+// decideKey decides on a call with a caller's key. If the sender has read more of the
+// platform's log than this node, this node can't know whether it still owns the key.
 func (s *Server) decideKey(c *call) wharfidempotency.Plan {
 	fingerprint := c.head.GetFingerprint()
 	if s.View.State().Offset() < c.head.GetStateOffset() {
@@ -74,8 +75,8 @@
 	return plan.Decision
 }
 
-// askPreviousOwner asks one previous owner about the key of the call, which closes
-// the key there.
+// askPreviousOwner asks one previous owner for its entry of the key of the call. The
+// previous owner closes the key if it has dispatched no request with it.
 func (s *Server) askPreviousOwner(c *call, owner wharfidempotency.Owner) wharfidempotency.Decision {
 	entry, err := s.Consulter.Consult(c.ctx, owner, c.key)
 	if err != nil {
@@ -95,15 +96,16 @@
 	case wharfidempotency.Refuse:
 		return d.Outcome, false
 	default:
-		// Only a generated key gets here. It is sent once, so no request can join
-		// another one with this key.
+		// The action is Join. claimKey handles it for a caller's key, so the key is a
+		// generated one. Each attempt has its own generated key and is sent once, so
+		// another request with the key is not expected.
 		return wharfoutcome.Uncertain(wharfoutcome.ReasonAnswerLost), false
 	}
 }
 
 // tryDispatchKey moves the key of the call to running, right before the request is
-// sent. It returns false and the outcome if the key was closed or this node may not
-// own it any more. It returns true for a call without a key.
+// sent. It returns false and the outcome if the key was closed or if it is not certain
+// that this node still owns it. It returns true for a call without a key.
 func (s *Server) tryDispatchKey(c *call) (wharfoutcome.Outcome, bool) {
 	if !c.keyed {
 		return wharfoutcome.Outcome{}, true
--- a/wharfnode/internal/wharftarget/peer.go
+++ b/wharfnode/internal/wharftarget/peer.go
@@ -15,10 +15,10 @@
 // Consult returns this node's entry of a key. If no request with the key was dispatched
 // here, Consult closes the key, so that none will be unless this node becomes the
 // owner again. It returns an error if the request is for another incarnation of this
-// node, whose records this one does not have.
+// node, because this one does not have its entries.
 func (s *Server) Consult(_ context.Context, r *wharfwire.ConsultRequest) (*wharfwire.ConsultResponse, error) {
 	if r.GetIncarnation() != s.View.Incarnation() {
-		return nil, status.Error(codes.FailedPrecondition, "this life of the node does not have the records asked for")
+		return nil, status.Error(codes.FailedPrecondition, "this incarnation of the node does not have the requested records")
 	}
 	id := wharfidempotency.KeyID{Service: r.GetService(), Caller: r.GetCaller(), Key: r.GetKey()}
 	offset := max(r.GetStateOffset(), s.View.State().Offset())
@@ -31,7 +31,7 @@
 	return &wharfwire.SuspectResponse{}, nil
 }
 
-// HandOver imports the key records of an owner that is leaving.
+// HandOver imports the key entries of an owner that is leaving.
 func (s *Server) HandOver(_ context.Context, r *wharfwire.HandOverRequest) (*wharfwire.HandOverResponse, error) {
 	for _, k := range r.GetRecords() {
 		x := wharfidempotency.ExportedKey{
--- a/wharfnode/internal/wharftarget/quarantine.go
+++ b/wharfnode/internal/wharftarget/quarantine.go
@@ -8,12 +8,12 @@
 )
 
 // suspectRetryAfter is the retry-after hint for a suspected request that was sent to
-// a target outside its exposure limit.
+// a target on which its exposure limit doesn't allow it to run.
 const suspectRetryAfter = time.Second
 
 // checkQuarantine refuses a quarantined request. It also refuses a suspected request
-// whose target is outside the exposure limit of the request; this happens when the
-// sender did not know of the suspicion.
+// if its exposure limit, the bound on the targets that it may run on, excludes the
+// target. This happens when the sender did not know of the suspicion.
 func (s *Server) checkQuarantine(c *call) (wharfoutcome.Outcome, bool) {
 	now := time.Now()
 	if remaining, refused := s.Quarantine.Quarantined(now, c.fingerprint); refused {
--- a/wharfnode/internal/wharftarget/receive.go
+++ b/wharfnode/internal/wharftarget/receive.go
@@ -21,7 +21,8 @@
 	"ragwortwharf.dev/wharfnode/wharfprotocol"
 )
 
-// consulter asks a previous owner about a key, which closes the key there.
+// consulter asks a previous owner of a key for its entry of the key. The previous
+// owner closes the key if it has dispatched no request with it.
 type consulter interface {
 	Consult(ctx context.Context, owner wharfidempotency.Owner, id wharfidempotency.KeyID) (wharfidempotency.KeyEntry, error)
 }
@@ -41,17 +42,20 @@
 type Server struct {
 	View     *wharfview.View
 	Registry *Registry
-	// Backpressure rejects client requests while downstream calls meet queue delay.
+	// Backpressure rejects client requests while downstream calls are delayed in
+	// queues.
 	Backpressure *BackpressureGuard
-	Ledger       *wharfbudget.Ledger
-	Quarantine   *wharfquarantine.List
-	Keys         *wharfidempotency.KeyStore
-	Consulter    consulter
-	Broadcaster  broadcaster
-	Auditor      auditor
-	Protocol     wharfprotocol.TargetProtocol
-	// RefusesAfterCrash tells that a crashed target refuses connections for a while.
-	// A target that accepts connections then has lost a response but not crashed.
+	// Ledger holds the grants of the calls that the targets are serving.
+	Ledger      *wharfbudget.Ledger
+	Quarantine  *wharfquarantine.List
+	Keys        *wharfidempotency.KeyStore
+	Consulter   consulter
+	Broadcaster broadcaster
+	Auditor     auditor
+	Protocol    wharfprotocol.TargetProtocol
+	// RefusesAfterCrash is true if a crashed target refuses connections for a while.
+	// If such a target accepts a new connection after a request has failed, it has
+	// not crashed; only the response was lost.
 	RefusesAfterCrash bool
 	Log               wharfevents.Log
 	Metrics           wharfevents.Metrics
@@ -73,11 +77,13 @@
 	config      *wharfconfig.Snapshot
 	deadline    time.Time
 	fingerprint wharfquarantine.Fingerprint
-	target      *target
+	// target is nil if this node has no target for the call.
+	target *target
 
 	// keyed is true if the call must run at most once, which key ensures.
 	keyed bool
 	key   wharfidempotency.KeyID
+	// grant identifies the ledger entry of the call.
 	grant wharfbudget.GrantID
 	// dispatched is true once the call has a grant in the ledger.
 	dispatched bool
@@ -119,7 +125,7 @@
 	}
 	head := frame.GetHead()
 	if head == nil {
-		return oops.Code("call-without-head").Errorf("a call begins with its head")
+		return oops.Code("call-without-head").Errorf("the first frame of the call has no head")
 	}
 	s.calls.Add(1)
 	defer s.calls.Add(-1)
@@ -188,7 +194,7 @@
 	s.Log.Emit(wharfevents.CallUnserved, fields...)
 }
 
-// ticket returns the ticket of the call for the gate of its target.
+// ticket returns the description of the call for the gate of its target.
 func (c *call) ticket(now time.Time) wharfadmission.Ticket {
 	return wharfadmission.Ticket{
 		ID:       c.id,
--- a/wharfnode/internal/wharftarget/registry.go
+++ b/wharfnode/internal/wharftarget/registry.go
@@ -24,6 +24,7 @@
 	// info is the last announcement of the target, and renewed is its time. A write
 	// to info needs the lock of the registry, too.
 	info wharfmember.Target
+	// gate decides which calls to the target run, wait or are refused.
 	gate *wharfadmission.Gate
 	// waiters holds the channels for the decisions on waiting calls, and inFlight
 	// the dispatched requests, both by call id.
@@ -34,7 +35,8 @@
 	renewed time.Time
 	// leaving is true from Leave until the next announcement.
 	leaving bool
-	// reservesOffset is the offset of the configuration whose reserves the gate has.
+	// reservesOffset is the offset of the configuration from which the reserves of
+	// the gate were set.
 	reservesOffset uint64
 	monitor        *wharfliveness.Monitor
 }
