--- a/wharfnode/internal/wharfliveness/monitor.go
+++ b/wharfnode/internal/wharfliveness/monitor.go
@@ -82,8 +82,9 @@
 }
 
 // arm sets a timer that runs check when the stall timeout of the pending calls
-// expires; the caller holds the lock. Responses don't stop the timer, so that they
-// cost nothing.
+// expires; the caller holds the lock. The stall timeout is the time without a response
+// after which the server is probed; wharfrouting.StallDetector derives it from the mean
+// latency. Responses don't stop the timer, so that they cost nothing.
 func (m *Monitor) arm(now time.Time) {
 	if deadline, pending := m.stall.Deadline(); pending && !m.armed {
 		m.armed = true
@@ -159,7 +160,7 @@
 	return true
 }
 
-// markRecovered allows calls again. reachable tells whether the server has accepted
+// markRecovered allows calls again. reachable is true if the server has accepted
 // a connection; otherwise only further calls can show whether it responds.
 func (m *Monitor) markRecovered(reachable bool) {
 	m.mu.Lock()
--- a/wharfnode/internal/wharfrandom/doc.go
+++ b/wharfnode/internal/wharfrandom/doc.go
@@ -1,3 +1,3 @@
-// Package wharfrandom creates the random number generators of a node. The decision
-// packages take their generator as an argument.
+// Package wharfrandom creates the random number generators of a node. Packages without
+// I/O, such as wharfrouting, take a generator as an argument.
 package wharfrandom
