--- a/wharf/wharfadmission/aimd.go
+++ b/wharf/wharfadmission/aimd.go
@@ -15,8 +15,9 @@
 	congestedRatio = 2.0
 	// decreaseFactor multiplies the limit on congestion.
 	decreaseFactor = 0.7
-	// minFallShare is the share of the expected fall of latency that a decrease
-	// must reach to show that the limit caused the congestion.
+	// minFallShare is a share of the fall of latency that is expected after a
+	// decrease of the limit. If latency changes by less, the number of requests did
+	// not cause the congestion.
 	minFallShare = 0.5
 	// maxSteadyChange is the relative change of latency between two windows up
 	// to which latency counts as steady.
@@ -103,9 +104,9 @@
 	case a.ratioAtDecrease > 0 && latencyUnchanged(a.ratioAtDecrease, latencyRatio):
 		a.resetBaseline(latencyRatio)
 	case a.ratioAtDecrease == 0 && !a.steady(latencyRatio):
-		// Some samples are from before the congestion began. After a decrease
-		// now, a change of latency could come from the decrease or from the
-		// congestion.
+		// Wait for steady latency: the window may also hold samples from before
+		// the congestion began. After a decrease now, a change of latency could
+		// come from the decrease or from the congestion.
 	default:
 		a.decrease(latencyRatio)
 	}
--- a/wharf/wharfadmission/backpressure.go
+++ b/wharf/wharfadmission/backpressure.go
@@ -16,7 +16,8 @@
 	// first, without any communication between the nodes.
 	topRankDelayThreshold = 160 * time.Millisecond
 	minDelayThreshold     = 20 * time.Millisecond
-	// MaxQueueDelay is the queue delay that is recorded for a refused call.
+	// MaxQueueDelay is the longest queue delay that is recorded. It is also recorded
+	// for a refused call, whose delay is unknown.
 	MaxQueueDelay = 250 * time.Millisecond
 	// topRankCutFactor is the smallest factor by which one window multiplies the
 	// admitted share of the most important rank. The factor is smaller by
@@ -58,7 +59,7 @@
 	// rejected.
 	rejectedShare [rankCount]float64
 	// congestionShare is the admitted share at which the last congestion began.
-	// uncongestedWindows counts the windows since then.
+	// uncongestedWindows counts the windows without congestion since then.
 	congestionShare    [rankCount]float64
 	uncongestedWindows [rankCount]int
 	// queueDelay and lastQueueDelay are the mean queue delays of the last window
@@ -81,8 +82,8 @@
 	return b.queueDelay
 }
 
-// Admit reports whether a client request is admitted. The requests of one user
-// get the same decision as long as the share doesn't change.
+// Admit reports whether a client request is admitted. Requests that belong to one
+// user request get the same decision as long as the share doesn't change.
 func (b *Backpressure) Admit(now time.Time, p Priority) bool {
 	b.advanceWindows(now)
 	bucket := float64(int(p)%bucketsPerRank) / bucketsPerRank
--- a/wharf/wharfadmission/gate.go
+++ b/wharf/wharfadmission/gate.go
@@ -17,11 +17,12 @@
 	latencyWeight = 0.1
 	// optimisticShare is the share of the usual latency that a request must have
 	// left before its deadline when no other request waits for the slot. Some
-	// requests finish that fast, and without a try the slot would stay idle.
+	// requests finish that fast, and otherwise the slot would stay idle.
 	optimisticShare = 0.5
 	// responseMargin is the time that a refusal takes to reach the caller: some
-	// round trips between failure domains. If a request is refused later than this
-	// before its deadline, the caller doesn't learn that the request has not run.
+	// round trips between failure domains. If a request is refused with less time
+	// than this left before its deadline, the caller doesn't learn that the request
+	// has not run.
 	responseMargin = 10 * time.Millisecond
 )
 
@@ -37,7 +38,7 @@
 	Refused []Refusal
 }
 
-// Config configures a gate. The zero Config runs every request at once.
+// Config configures a gate. With the zero Config no request waits for a slot.
 type Config struct {
 	Limiter Limiter
 	Order   Order
@@ -46,14 +47,14 @@
 	MaxWait time.Duration
 	// Levels enables the admission level.
 	Levels bool
-	// Reserves lists the share of the limit that is reserved for each class and
-	// the more important ones.
+	// Reserves lists the reserves of the classes.
 	Reserves []Reserve
 	// Rand adds jitter to retry-after hints. Without it they have no jitter.
 	Rand *rand.Rand
 }
 
-// Reserve is the share of a limit that no rank larger than Rank may use.
+// Reserve is a share of the limit that is kept for the requests of a rank and of
+// the more important ranks. Requests with a rank larger than Rank can't use it.
 type Reserve struct {
 	Rank  int
 	Share float64
@@ -164,8 +165,9 @@
 	Queued  int
 	Limit   int
 	Level   Priority
-	// LowestRank is the largest rank in the queue, -1 if the queue is empty. A
-	// request of this rank is shed before a more important one.
+	// LowestRank is the rank of the least important request in the queue, which is
+	// the largest rank number, or -1 if the queue is empty. A request of this rank
+	// is shed before a more important one.
 	LowestRank int
 	// QueueRoom is the number of further requests that fit into the queue.
 	QueueRoom int
--- a/wharf/wharfadmission/lag_test.go
+++ b/wharf/wharfadmission/lag_test.go
@@ -21,9 +21,9 @@
 
 const (
 	lagTick = 10 * time.Millisecond
-	// signalDelay is the age of a reported queue delay: for each of three hops the
-	// age of a mean over a window and the transfer of a response, and half a
-	// window until the next evaluation.
+	// signalDelay is the age of a reported queue delay. Each of three hops adds one
+	// window, for its mean, and 20 ms, to transfer the response. The next evaluation
+	// at the node adds half a window.
 	signalDelay = 3*(delayWindow+20*time.Millisecond) + delayWindow/2
 	// maxServedWait is the wait above which requests fail.
 	maxServedWait = 250 * time.Millisecond
--- a/wharf/wharfadmission/level.go
+++ b/wharf/wharfadmission/level.go
@@ -17,12 +17,12 @@
 	maxRaiseRatio = 4.0
 )
 
-// Priority combines the class and the user request of a request into one number.
-// A lower number is more important.
+// Priority combines the rank of a request with a hash of the user request that it
+// belongs to. A lower number is more important.
 type Priority uint16
 
-// PriorityOf returns the priority of a user request in the class with a rank.
-// requestHash is the hash of the user request.
+// PriorityOf returns the priority of a request. requestHash is a hash of the ID of
+// the user request.
 func PriorityOf(rank int, requestHash uint64) Priority {
 	rank = min(max(rank, 0), rankCount-1)
 	return Priority(rank*bucketsPerRank) + Priority(requestHash%bucketsPerRank)
@@ -40,8 +40,11 @@
 	// reduction is the distance of the threshold from LevelOpen, so that the zero
 	// value admits everything.
 	reduction Priority
-	step      Priority
-	arrivals  [LevelOpen + 1]uint16
+	// step is the smallest increase in the last raise, in buckets. It is zero after
+	// an overload.
+	step Priority
+	// arrivals counts the requests of the current window by priority.
+	arrivals [LevelOpen + 1]uint16
 }
 
 // Threshold returns the largest priority number that is admitted.
@@ -59,7 +62,8 @@
 
 // Update ends a window and adjusts the threshold. capacity is the number of
 // requests that the target can finish in a window. In an overload the new
-// threshold admits as many of the window's arrivals as that.
+// threshold admits at most capacity of the window's arrivals, but always those with
+// priority zero.
 func (l *Level) Update(overloaded bool, capacity float64) {
 	if overloaded {
 		l.lower(int(math.Ceil(capacity)))
--- a/wharf/wharfadmission/limiter.go
+++ b/wharf/wharfadmission/limiter.go
@@ -17,7 +17,7 @@
 	// Failed means that the target sent no response.
 	Failed
 	// DeadlineExceeded means that the deadline passed before the response. The
-	// target needs at least the latency of the sample.
+	// response would have taken at least the latency of the sample.
 	DeadlineExceeded
 	// Cancelled means that the caller disconnected. The sample contains no
 	// information about the target.
--- a/wharf/wharfadmission/queue.go
+++ b/wharf/wharfadmission/queue.go
@@ -11,12 +11,13 @@
 	Priority Priority
 	Arrived  time.Time
 	Deadline time.Time
-	// Objective is the time after the arrival within which a response has its full
-	// value. It is zero if no objective is known.
+	// Objective is the latency objective, counted from the arrival: a response that
+	// takes longer is worth less to the caller. Zero means that none is known.
 	Objective time.Duration
 }
 
-// due returns the time after which a response loses a part of its value.
+// due returns the time at which the objective ends, or the deadline if there is no
+// objective.
 func (t Ticket) due() time.Time {
 	if t.Objective == 0 {
 		return t.Deadline
@@ -30,13 +31,13 @@
 // Orders of a queue.
 const (
 	// Adaptive is adaptive LIFO: requests of one class and depth run
-	// first-in-first-out, but last-in-first-out while there is a standing queue, so
-	// that at least some requests are answered in time.
+	// first-in-first-out, but last-in-first-out while there is a standing queue
+	// (see standingDelay), so that at least some requests are answered in time.
 	Adaptive Order = iota
 	// FIFO always runs requests of one class and depth first-in-first-out.
 	FIFO
-	// Objective runs, within a class, the request first whose response loses a
-	// part of its value first. It is for targets with Backpressure, which rejects
+	// Objective runs, within a class, the request first whose objective ends first
+	// (earliest due time first). It is for targets with Backpressure, which rejects
 	// client requests and so keeps the queue short.
 	Objective
 	// Arrival ignores class and depth and drops the newest request. It is the
@@ -123,7 +124,8 @@
 	return false
 }
 
-// lowestRank returns the largest rank in the queue, -1 if the queue is empty.
+// lowestRank returns the rank of the least important request in the queue, which
+// is the largest rank number, or -1 if the queue is empty.
 func (q *queue) lowestRank() int {
 	rank := -1
 	for _, t := range q.tickets {
--- a/wharf/wharfadmission/retryafter.go
+++ b/wharf/wharfadmission/retryafter.go
@@ -4,7 +4,7 @@
 
 const (
 	// drainWeight is the weight of a new value in the moving average of the drain
-	// rate.
+	// rate, the number of requests that the target finishes per second.
 	drainWeight = 0.3
 	// drainWindow is the shortest time over which the drain rate is measured.
 	drainWindow = 200 * time.Millisecond
