--- a/wharf/wharfbudget/grant.go
+++ b/wharf/wharfbudget/grant.go
@@ -1,6 +1,7 @@
 package wharfbudget
 
-// DefaultAttempts is the grant of a user request for which the rules set none.
+// DefaultAttempts is the grant of a user request for which the configuration sets
+// none.
 const DefaultAttempts = 64
 
 // The fraction of the remaining attempts that an attempt delegates, rounded up.
--- a/wharf/wharfbudget/ledger.go
+++ b/wharf/wharfbudget/ledger.go
@@ -30,14 +30,16 @@
 	DownstreamTime  time.Duration
 	downstreamCalls int
 	downstreamSince time.Time
-	// LevelReduction is the distance from LevelOpen of the lowest admission level
-	// that the downstream calls have met.
+	// LevelReduction is the distance from wharfadmission.LevelOpen of the lowest
+	// admission level that the downstream calls have met. It is zero if that level
+	// admits all requests.
 	LevelReduction uint16
 }
 
 // Ledger holds the grants of the calls that a node's target is serving. An attempt
-// under an unknown grant is refused, so a node that lost its memory can't create
-// attempts. The zero Ledger is ready to use. A Ledger is safe for concurrent use.
+// under an unknown grant is refused, so a node that restarted and lost its
+// ledger can't create attempts. The zero Ledger is ready to use. A Ledger is safe
+// for concurrent use.
 type Ledger struct {
 	shards [ledgerShards]ledgerShard
 }
@@ -102,7 +104,8 @@
 type DownstreamResult struct {
 	Retried bool
 	Refused bool
-	// LevelReduction is the distance of the admission level from LevelOpen.
+	// LevelReduction is the distance of the admission level from
+	// wharfadmission.LevelOpen.
 	LevelReduction uint16
 }
 
--- a/wharf/wharfbudget/repeatcounter.go
+++ b/wharf/wharfbudget/repeatcounter.go
@@ -2,8 +2,9 @@
 
 import "time"
 
-// RepeatLimit bounds how often requests for a service reach a target again
-// after the first time, by all nodes together and in any window.
+// RepeatLimit bounds the repeated requests for a service, summed over all nodes, in
+// any window. A repeated request is sent to a target although an earlier attempt of
+// it has already reached a target.
 type RepeatLimit struct {
 	// Ratio is the largest share of the requests for a service that may be repeated.
 	Ratio float64
--- a/wharf/wharfbudget/repeatcounter_test.go
+++ b/wharf/wharfbudget/repeatcounter_test.go
@@ -9,7 +9,9 @@
 
 // TestRepeatLimitHoldsOverAllNodes splits random traffic over a number of nodes that
 // repeat as many requests as they may. In every window all nodes together must stay
-// within the limit. Requests count if they fall into the window or the one before.
+// within the limit. Requests count if they fall into the window or the one before,
+// because a repeat at the start of a window was allowed by the requests of the
+// window before it.
 func TestRepeatLimitHoldsOverAllNodes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := RepeatLimit{Ratio: 0.2, Slack: rapid.IntRange(0, 60).Draw(t, "slack"), Window: 10 * time.Second}
