--- a/wharf/wharfidempotency/keys.go
+++ b/wharf/wharfidempotency/keys.go
@@ -107,15 +107,15 @@
 	Outcome  wharfoutcome.Outcome
 }
 
-// Begin decides on a request for a key, which this node began to own at the log
-// offset since. It adds a new key as waiting. A key that was closed before since
-// is treated as new.
-func (k *KeyStore) Begin(now time.Time, id KeyID, fingerprint, since uint64) Decision {
+// Begin decides on a request for a key. It adds a new key as waiting. ownedFrom is
+// the log offset at which this node became the owner of the key; a key that was
+// closed before that offset is treated as new.
+func (k *KeyStore) Begin(now time.Time, id KeyID, fingerprint, ownedFrom uint64) Decision {
 	s := k.shard(id)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	e, known := s.entries[id]
-	if !known || e.State == Closed && e.ClosedAt < since {
+	if !known || e.State == Closed && e.ClosedAt < ownedFrom {
 		if !known && s.full(id.Caller) {
 			return refusal(wharfoutcome.Refuse(wharfoutcome.ReasonKeyTableFull))
 		}
--- a/wharf/wharfidempotency/memory.go
+++ b/wharf/wharfidempotency/memory.go
@@ -31,7 +31,8 @@
 // response was lost.
 const generatedKeyTTL = 2 * time.Minute
 
-// generated reports whether a node generated the key for one attempt.
+// generated reports whether a node generated the key for one attempt. Such a key has
+// no service and no caller.
 func (id KeyID) generated() bool {
 	return id.Service == ""
 }
--- a/wharf/wharfidempotency/resolve.go
+++ b/wharf/wharfidempotency/resolve.go
@@ -23,8 +23,8 @@
 // OwnershipView is the ownership as one node knows it.
 type OwnershipView struct {
 	Table *OwnershipTable
-	// ConfirmedAt is the latest time up to which the table is known to be
-	// complete.
+	// ConfirmedAt is the latest time at which the state of the node is known to
+	// have included the whole log, so that the table was complete.
 	ConfirmedAt time.Time
 }
 
--- a/wharf/wharfidempotency/table.go
+++ b/wharf/wharfidempotency/table.go
@@ -266,7 +266,7 @@
 // SavedIncarnation is the stored form of an incarnation that was released or
 // evicted. Incarnation has the form "node#number".
 type SavedIncarnation struct {
-	Incarnation string    `json:"life"`
+	Incarnation string    `json:"life"` // stored under its earlier name
 	At          time.Time `json:"at"`
 	HandedOver  bool      `json:"handed-over,omitempty"`
 }
