--- a/wharf/wharfmember/doc.go
+++ b/wharf/wharfmember/doc.go
@@ -8,6 +8,6 @@
 // FailureDetector turns failed exchanges into failure reports; a node is down
 // after several nodes have reported it.
 //
-// The package does no I/O. The cluster agent of the node passes it the results of
-// exchanges; the routing code takes its targets from the table.
+// The package does no I/O and reads no clock. The cluster agent of the node passes
+// it the results of exchanges; the routing code takes its targets from the table.
 package wharfmember
--- a/wharf/wharfmember/incarnations.go
+++ b/wharf/wharfmember/incarnations.go
@@ -1,6 +1,7 @@
 package wharfmember
 
-// TargetIncarnation identifies one announcement of one incarnation of a target.
+// TargetIncarnation identifies one announcement of a target: the incarnation that
+// sent it and its place in the sequence of announcements of this incarnation.
 type TargetIncarnation struct {
 	// Instance identifies the target. A target may restart with the same
 	// instance.
--- a/wharf/wharfmember/member.go
+++ b/wharf/wharfmember/member.go
@@ -41,8 +41,8 @@
 	}
 }
 
-// LabelInstance is the label that identifies the incarnation of a target. Its
-// value changes with each start of the target.
+// LabelInstance is the label with the instance of a target. The instance normally
+// changes with each start of the target.
 const LabelInstance = "instance"
 
 // Target is the announcement of a target to its node.
@@ -54,8 +54,9 @@
 	Leaving bool              `json:"leaving,omitempty"`
 }
 
-// Member is the entry of one node. Only the node itself increases the version;
-// other nodes may only set the state to Down.
+// Member is the entry of one node. The incarnation increases with each start of the
+// node, and the version with each change that the node makes to its entry. Other
+// nodes may only set the state to Down, which leaves the version unchanged.
 type Member struct {
 	Node          string   `json:"node"`
 	Incarnation   uint64   `json:"incarnation"`
--- a/wharf/wharfmember/member_test.go
+++ b/wharf/wharfmember/member_test.go
@@ -68,8 +68,8 @@
 	is.Equal(len(table.Serving("s0")), 0)
 }
 
-// TestDifferingCoversAllEntries guards against entries that repeated limited
-// exchanges never send.
+// TestDifferingCoversAllEntries guards against entries that are never sent, although
+// exchanges that send a limited number of entries are repeated.
 func TestDifferingCoversAllEntries(t *testing.T) {
 	is := is.New(t)
 	var full, empty Table
@@ -85,9 +85,9 @@
 	is.Equal(full.Digests().Root(), empty.Digests().Root())
 }
 
-// TestEachNodeHasRingNeighboursAsMonitors checks that as many nodes monitor each
-// node as each node monitors, all in the failure domain of the node. It also
-// checks that RandomRemote returns a node of another failure domain.
+// TestEachNodeHasRingNeighboursAsMonitors checks that each node is monitored by
+// ringNeighbours nodes of its own failure domain. It also checks that RandomRemote
+// returns a node of another failure domain.
 func TestEachNodeHasRingNeighboursAsMonitors(t *testing.T) {
 	is := is.New(t)
 	var table Table
--- a/wharf/wharfmember/table.go
+++ b/wharf/wharfmember/table.go
@@ -127,13 +127,13 @@
 }
 
 // Differing returns the entries in the buckets whose digests differ from those of
-// a peer. It starts at the bucket from and stops after the bucket in which the
-// number of entries reaches limit. The caller must vary from between calls, so that
-// every differing entry is sent after some calls.
-func (t *Table) Differing(peer *Digests, from, limit int) []Member {
+// a peer. It begins at the bucket with the index start and stops after the bucket
+// in which the number of entries reaches limit. The caller must vary start between
+// calls, so that every differing entry is sent after some calls.
+func (t *Table) Differing(peer *Digests, start, limit int) []Member {
 	var out []Member
 	for i := range Buckets {
-		b := (from + i) % Buckets
+		b := (start + i) % Buckets
 		if peer[b] == t.digests[b] {
 			continue
 		}
