--- a/wharf/wharfoutcome/outcome.go
+++ b/wharf/wharfoutcome/outcome.go
@@ -40,37 +40,71 @@
 const (
 	ReasonNone     Reason = ""
 	ReasonOverload Reason = "overload"
+	// The deadline has passed, or the target can't respond before it.
 	ReasonDeadline Reason = "deadline"
 	// ReasonOverloadBelow refuses a client request because a downstream service of
 	// the target is overloaded.
-	ReasonOverloadBelow    Reason = "overload-below"
-	ReasonLeaving          Reason = "leaving"
-	ReasonQuarantined      Reason = "quarantined"
-	ReasonSuspected        Reason = "suspected"
-	ReasonAttemptsSpent    Reason = "attempts-spent"
-	ReasonHomeUnreachable  Reason = "home-unreachable"
-	ReasonHomeMoved        Reason = "home-moved"
-	ReasonHomeCatchingUp   Reason = "home-catching-up"
-	ReasonKeyClosed        Reason = "key-closed"
-	ReasonKeyMismatch      Reason = "key-mismatch"
-	ReasonKeyTableFull     Reason = "key-table-full"
-	ReasonAnswerNotKept    Reason = "answer-not-kept"
-	ReasonNoTarget         Reason = "no-target"
-	ReasonUnknownService   Reason = "unknown-service"
-	ReasonUnknownRoute     Reason = "unknown-route"
-	ReasonNotConfigured    Reason = "not-configured"
+	ReasonOverloadBelow Reason = "overload-below"
+	// The target or its node is leaving and accepts no new requests.
+	ReasonLeaving Reason = "leaving"
+	// The request was in flight during several crashes, so no target may run it.
+	ReasonQuarantined Reason = "quarantined"
+	// The request was in flight during a crash, or may have been, and its exposure
+	// limit (wharfrouting.ExposureLimit) excludes the target or all targets.
+	ReasonSuspected Reason = "suspected"
+	// No attempts are left in the grant (wharfbudget.Grant), or the call that the
+	// grant belongs to has ended.
+	ReasonAttemptsSpent Reason = "attempts-spent"
+
+	// In the next three values, the home of an idempotency key is its owner, the
+	// node that may run requests with the key (see wharfidempotency).
+
+	// The key has no owner, or a previous owner could not be asked about it.
+	ReasonHomeUnreachable Reason = "home-unreachable"
+	// The node doesn't own the key, or a previous owner may have run it.
+	ReasonHomeMoved Reason = "home-moved"
+	// The node has not read enough of the log to know whether it owns the key.
+	ReasonHomeCatchingUp Reason = "home-catching-up"
+	// The key was closed on the node, so the node must not run it.
+	ReasonKeyClosed Reason = "key-closed"
+	// The key was already used for a different request.
+	ReasonKeyMismatch Reason = "key-mismatch"
+	// The owner has no space for another key.
+	ReasonKeyTableFull Reason = "key-table-full"
+	// The request has completed, but its response was not stored.
+	ReasonAnswerNotKept Reason = "answer-not-kept"
+
+	// No target of the service is available for an attempt.
+	ReasonNoTarget       Reason = "no-target"
+	ReasonUnknownService Reason = "unknown-service"
+	// No route matches the host and path of the request.
+	ReasonUnknownRoute Reason = "unknown-route"
+	// The node has not received the routes yet.
+	ReasonNotConfigured Reason = "not-configured"
+	// The request names no service.
 	ReasonMissingService   Reason = "missing-service"
 	ReasonMalformedContext Reason = "malformed-context"
 	ReasonMalformedTimeout Reason = "malformed-timeout"
-	ReasonMalformedKey     Reason = "malformed-key"
-	ReasonBodyIncomplete   Reason = "body-incomplete"
-	ReasonDepthExceeded    Reason = "depth-exceeded"
-	ReasonUnreachable      Reason = "unreachable"
-	ReasonTargetCrashed    Reason = "target-crashed"
-	ReasonTargetSilent     Reason = "target-silent"
-	ReasonAnswerLost       Reason = "answer-lost"
+	// The key or the name of the caller is too long.
+	ReasonMalformedKey Reason = "malformed-key"
+	// The body of the request was truncated.
+	ReasonBodyIncomplete Reason = "body-incomplete"
+	// The call chain is deeper than wharfwire.MaxDepth.
+	ReasonDepthExceeded Reason = "depth-exceeded"
+
+	// There was no connection to the target or its node, so nothing was sent.
+	ReasonUnreachable Reason = "unreachable"
+	// The connection to the target was lost, which counts as a crash of the target.
+	ReasonTargetCrashed Reason = "target-crashed"
+	// The target sends no responses and accepts no new connections.
+	ReasonTargetSilent Reason = "target-silent"
+	// The request was sent and no response arrived, but the target has not crashed
+	// as far as is known.
+	ReasonAnswerLost Reason = "answer-lost"
+	// The response was truncated.
 	ReasonAnswerIncomplete Reason = "answer-incomplete"
-	ReasonCancelled        Reason = "cancelled"
+	// The sender disconnected or cancelled the request.
+	ReasonCancelled Reason = "cancelled"
 )
 
 // Outcome is the final result of one request or of one attempt of it.
