--- a/wharf/wharfrouting/balancer.go
+++ b/wharf/wharfrouting/balancer.go
@@ -30,7 +30,8 @@
 	PinnedNode string
 	// IgnoreLevels picks a target regardless of its admission level.
 	IgnoreLevels bool
-	// ExposureLimit bounds the set of targets that may run the request.
+	// ExposureLimit bounds the set of targets that may run the request, in case
+	// the request crashes its targets.
 	ExposureLimit ExposureLimit
 }
 
--- a/wharf/wharfrouting/exposure.go
+++ b/wharf/wharfrouting/exposure.go
@@ -8,7 +8,8 @@
 )
 
 // maxExposedPerDomain is the number of targets of one failure domain that a request
-// may run on while it is not known safe.
+// may run on while it is not known safe. A request is known safe after it has
+// completed without a crash.
 const maxExposedPerDomain = 2
 
 // ExposureLimit bounds the set of targets that a request may run on. It selects
--- a/wharf/wharfrouting/service_test.go
+++ b/wharf/wharfrouting/service_test.go
@@ -61,7 +61,7 @@
 	return s
 }
 
-// retryInService decides as the product does.
+// retryInService decides as the sending node does, apart from its budgets.
 func retryInService(s *service, r Request, o wharfoutcome.Outcome) bool {
 	return wharfbudget.MayRetry(wharfbudget.Failure{
 		Outcome:       o,
@@ -102,6 +102,7 @@
 	}
 	x.tried = append(x.tried, target.Address)
 	i := s.index(target.Address)
+	// The attempt counts as refused until the gate has decided otherwise.
 	x.refusedAttempts++
 	s.waiting[i][x.ID] = x
 	fx := s.gates[i].Offer(s.now, x.Ticket)
--- a/wharf/wharfrouting/stall.go
+++ b/wharf/wharfrouting/stall.go
@@ -14,7 +14,9 @@
 	responseWeight = 0.1
 )
 
-// StallDetector detects that a peer no longer responds to calls. The zero
+// StallDetector detects that a peer no longer responds to calls. A peer counts as
+// stalled if it sends no response for the stall timeout after the first unanswered
+// call was sent. The stall timeout grows with the mean latency of the peer. The zero
 // StallDetector is ready to use and has seen no call. It is not safe for
 // concurrent use.
 type StallDetector struct {
--- a/wharf/wharfrouting/target.go
+++ b/wharf/wharfrouting/target.go
@@ -26,8 +26,8 @@
 	Running int
 	Queued  int
 	Limit   int
-	// LowestRank is the largest rank among the queued requests, which is that of
-	// the least important one. It is zero if the queue is empty.
+	// LowestRank is the rank of the least important queued request, which is the
+	// largest rank number. It is zero if the queue is empty.
 	LowestRank int
 	// QueueRoom is the number of requests that the queue can still take.
 	QueueRoom int
@@ -94,9 +94,9 @@
 	// the lost share.
 	lossWeight = 0.1
 	// lossCost is the cost of losing all responses, as a multiple of the cost of a
-	// fully loaded target. It is added to the load, not multiplied with it,
-	// because a target that fails its requests is idle however loaded the others
-	// are.
+	// fully loaded target. It is added to the load, not multiplied with it: a target
+	// that loses its requests has almost no load, however loaded the others are, so
+	// a multiple of its load would still be the lowest cost.
 	lossCost = 3.0
 	// lossHalfLife is the time in which the weight of past losses halves.
 	lossHalfLife = 2 * time.Second
