--- a/wharf/wharfwire/context.go
+++ b/wharf/wharfwire/context.go
@@ -19,9 +19,12 @@
 
 // Context is the content of the Wharf-Context header. A service copies the
 // header from the call that it serves to the calls that it makes. Grant
-// identifies the entry in the ledger of the node that dispatched the call. That
-// entry holds class, deadline and attempts, so that a service can't change them.
+// identifies the entry in the ledger (wharfbudget.Ledger) of the node that
+// dispatched the call. That entry holds class, deadline and attempts, so that a
+// service can't change them.
 type Context struct {
+	// RequestID identifies the user request, the request at the start of the call
+	// chain.
 	RequestID string
 	Grant     uint64
 	Depth     int
@@ -51,7 +54,7 @@
 		return Context{}, contextError("does not have the form %s-REQUEST-GRANT-DEPTH-ATTEMPTS", contextVersion)
 	}
 	if !isLowerHex(parts[1], requestIDDigits) {
-		return Context{}, contextError("has a request id that is not %d hexadecimal digits", requestIDDigits)
+		return Context{}, contextError("has a request id that is not %d lower-case hexadecimal digits", requestIDDigits)
 	}
 	grant, err := strconv.ParseUint(parts[2], 16, 64)
 	if err != nil {
