--- a/wharf/internal/wharfpurity/purity_test.go
+++ b/wharf/internal/wharfpurity/purity_test.go
@@ -18,8 +18,8 @@
 	"wharfidempotency", "wharfmember", "wharfquarantine", "wharfroute", "wharfstream", "wharfstate",
 }
 
-// allowedImports lists the packages that may be imported although they are below
-// a forbidden path.
+// allowedImports lists exceptions to forbiddenImports. Of these, only the packages
+// in statusCodeUsers may import net/http.
 var allowedImports = []string{"net/http", "net/netip"}
 
 // statusCodeUsers lists the packages that may import net/http, for the constants
--- a/wharf/wharfconfig/classify.go
+++ b/wharf/wharfconfig/classify.go
@@ -29,8 +29,8 @@
 	// Targets limits the number of targets that the request may be sent to;
 	// zero means that only Attempts limits it.
 	Targets int
-	// Objective is the time within which a response has its full value; zero
-	// means that none is known.
+	// Objective is the latency objective: a response that takes longer is worth
+	// less to the caller. Zero means that none is known.
 	Objective time.Duration
 	// ClassRule, IdempotentRule, TimeoutRule and AttemptsRule name the rule
 	// that set each value; empty means that the default applies.
@@ -87,9 +87,8 @@
 	return s.index().defaults.clockSkew
 }
 
-// HomeStaleness returns the maximum age of an owner's last confirmation that its
-// state reaches the end of the log. With an older confirmation the owner starts
-// no keyed requests.
+// HomeStaleness returns how long an owner of idempotency keys may start requests
+// with a key after it last confirmed that it had read the whole log.
 func (s *Snapshot) HomeStaleness() time.Duration {
 	return s.index().defaults.homeStaleness
 }
--- a/wharf/wharfconfig/snapshot.go
+++ b/wharf/wharfconfig/snapshot.go
@@ -96,7 +96,8 @@
 	return Decision{}, false
 }
 
-// LoggedChange is a change with its log offset and the time of the log service.
+// LoggedChange is a change with its log offset and the time at which the log
+// service appended it.
 type LoggedChange struct {
 	Change Change
 	Offset uint64
@@ -170,9 +171,10 @@
 	return d
 }
 
-// editIssue returns the first issue of a document that wharfctl would not have
-// published, or "" if there is none. Only issues of the document itself count:
-// the documents that it refers to may have changed since wharfctl checked it.
+// editIssue returns the first issue of the edited document, or "" if there is none.
+// wharfctl checks documents before it publishes them; this check catches changes
+// that another program wrote. Only issues of the document itself count: the
+// documents that it refers to may have changed since wharfctl checked it.
 func editIssue(e Edit) string {
 	if e.Deletes() {
 		return ""
@@ -217,7 +219,7 @@
 type Saved struct {
 	Offset    uint64     `json:"offset"`
 	Objects   []Object   `json:"objects"`
-	Decisions []Decision `json:"verdicts"`
+	Decisions []Decision `json:"verdicts"` // stored under its earlier name
 }
 
 // Save returns the serialized form.
--- a/wharf/wharflog/client.go
+++ b/wharf/wharflog/client.go
@@ -38,8 +38,8 @@
 
 // NewClient returns a client of the log service at a base URL.
 func NewClient(url string) *Client {
-	// Neither the client nor the transport may retry: if an append were repeated
-	// without the caller's knowledge, the loss of its response would be hidden.
+	// Neither the client nor the transport may retry: a repeated append could add
+	// the record twice, and the caller would not learn that a response was lost.
 	transport := http.DefaultTransport.(*http.Transport).Clone()
 	transport.Proxy = nil
 	return &Client{http: resty.New().SetTransport(transport).SetBaseURL(url).SetRetryCount(0)}
--- a/wharf/wharflog/handler.go
+++ b/wharf/wharflog/handler.go
@@ -30,8 +30,8 @@
 	Read(ctx context.Context, stream string, from uint64, limit int, wait time.Duration) (wharfstream.Batch, error)
 }
 
-// Handler returns an HTTP handler that serves a log to Clients, for stand-ins
-// and tests.
+// Handler returns an HTTP handler that serves a log to Clients. It is for tests and
+// for the program that stands in for the log service.
 func Handler(l Log) http.Handler {
 	h := handler{l}
 	mux := http.NewServeMux()
--- a/wharf/wharfroute/route.go
+++ b/wharf/wharfroute/route.go
@@ -18,14 +18,14 @@
 	Host string `json:"host"`
 	// Prefix begins and ends with a slash.
 	Prefix   string            `json:"prefix"`
-	Services []WeightedService `json:"shares"`
+	Services []WeightedService `json:"shares"` // stored under its earlier name
 	// Rank is the importance of the requests. Zero is the most important rank.
 	Rank       int  `json:"rank"`
 	Idempotent bool `json:"idempotent"`
 	// Timeout is the maximum time until the caller gets a response.
 	Timeout time.Duration `json:"timeout"`
-	// Objective is the latency up to which a response has its full value for the
-	// caller.
+	// Objective is the latency objective: a response that takes longer is worth
+	// less to the caller.
 	Objective time.Duration `json:"objective"`
 	// Targets is the maximum number of targets that one request may reach. Zero
 	// means no limit.
--- a/wharf/wharfstate/doc.go
+++ b/wharf/wharfstate/doc.go
@@ -5,4 +5,7 @@
 // form of a record in the log (envelope.go). It does no I/O and reads no clock:
 // the node's log reader and its gossip exchanges pass the records in. They may
 // pass any ranges of the log, also repeatedly.
+//
+// The state of a node is confirmed at a time if it included all records that the
+// log held at that time.
 package wharfstate
--- a/wharf/wharfstate/envelope.go
+++ b/wharf/wharfstate/envelope.go
@@ -25,7 +25,7 @@
 // Envelope is the form of a record in the log. Exactly one field is set.
 type Envelope struct {
 	Change    *wharfconfig.Change               `json:"change,omitempty"`
-	Ownership *wharfidempotency.OwnershipRecord `json:"home,omitempty"`
+	Ownership *wharfidempotency.OwnershipRecord `json:"home,omitempty"` // stored under its earlier name
 	Snapshot  []byte                            `json:"snapshot,omitempty"`
 	// Routes is a complete set of routes. It replaces all earlier sets, so that
 	// missing route records before it have no effect.
@@ -52,7 +52,7 @@
 	Offset    uint64                 `json:"offset"`
 	Time      time.Time              `json:"time"`
 	Config    wharfconfig.Saved      `json:"config"`
-	Ownership wharfidempotency.Saved `json:"homes"`
+	Ownership wharfidempotency.Saved `json:"homes"` // stored under its earlier name
 	Routes    *wharfroute.Set        `json:"routes,omitempty"`
 }
 
