--- a/wharfnode/wharfevents/catalogue.go
+++ b/wharfnode/wharfevents/catalogue.go
@@ -9,7 +9,9 @@
 	"github.com/samber/oops"
 )
 
-// Event is an entry of the catalogue: one kind of log line.
+// Event is an entry of the catalogue: one kind of log line. Number and Name stay as
+// they are for existing clients, such as log filters, also where Name is older than
+// the Go name or the message.
 type Event struct {
 	Number  int
 	Name    string
@@ -22,9 +24,9 @@
 	NodeStarted      = Event{1001, "node-started", log.InfoLevel, "node started"}
 	NodeStopping     = Event{1002, "node-stopping", log.InfoLevel, "planned stop began"}
 	NodeStopped      = Event{1003, "node-stopped", log.InfoLevel, "node stopped"}
-	StopCutRequests  = Event{1004, "stop-cut-requests", log.ErrorLevel, "stop timeout cut requests in flight"}
-	ListenFailed     = Event{1005, "listen-failed", log.ErrorLevel, "address can't be listened on"}
-	SettingsReloaded = Event{1007, "settings-reloaded", log.InfoLevel, "changed settings are in force"}
+	StopCutRequests  = Event{1004, "stop-cut-requests", log.ErrorLevel, "stop timeout reached with requests in flight"}
+	ListenFailed     = Event{1005, "listen-failed", log.ErrorLevel, "can't listen on the address"}
+	SettingsReloaded = Event{1007, "settings-reloaded", log.InfoLevel, "changed settings applied"}
 	SettingsRefused  = Event{1008, "settings-refused", log.ErrorLevel, "changed settings can't be used"}
 	PauseNoticed     = Event{1006, "pause-noticed", log.WarnLevel, "process was paused"}
 )
@@ -32,13 +34,13 @@
 // Events of requests.
 var (
 	BadRequest       = Event{2001, "bad-request", log.WarnLevel, "request refused for bad input"}
-	LateAnswer       = Event{2002, "late-answer", log.WarnLevel, "answer of another attempt thrown away"}
-	AnswerIncomplete = Event{2003, "answer-incomplete", log.WarnLevel, "answer ended before it was whole"}
-	DispatchFailed   = Event{2004, "dispatch-failed", log.WarnLevel, "target broke off a request"}
-	RequestServed    = Event{2005, "request-served", log.InfoLevel, "request has the answer of a target"}
-	RequestUnserved  = Event{2006, "request-unserved", log.WarnLevel, "request ended without the answer of a target"}
-	AttemptFailed    = Event{2007, "attempt-failed", log.WarnLevel, "attempt at a target has no answer"}
-	CallUnserved     = Event{2008, "call-unserved", log.WarnLevel, "call ended at the target's node without its answer"}
+	LateAnswer       = Event{2002, "late-answer", log.WarnLevel, "response of another attempt discarded"}
+	AnswerIncomplete = Event{2003, "answer-incomplete", log.WarnLevel, "response truncated"}
+	DispatchFailed   = Event{2004, "dispatch-failed", log.WarnLevel, "target aborted a request"}
+	RequestServed    = Event{2005, "request-served", log.InfoLevel, "request completed with the response of a target"}
+	RequestUnserved  = Event{2006, "request-unserved", log.WarnLevel, "request ended without the response of a target"}
+	AttemptFailed    = Event{2007, "attempt-failed", log.WarnLevel, "attempt ended without a response"}
+	CallUnserved     = Event{2008, "call-unserved", log.WarnLevel, "call ended at the target's node without a response of the target"}
 )
 
 // Events of targets.
@@ -47,9 +49,9 @@
 	TargetLeaving      = Event{3002, "target-leaving", log.InfoLevel, "target is leaving"}
 	TargetExpired      = Event{3003, "target-expired", log.WarnLevel, "target stopped renewing its announcement"}
 	TargetRefused      = Event{3004, "target-refused", log.WarnLevel, "announcement of a target refused"}
-	TargetCrashed      = Event{3005, "target-crashed", log.ErrorLevel, "target broke off with requests in flight"}
-	TargetSilent       = Event{3007, "target-silent", log.WarnLevel, "target answers no request and takes no connection"}
-	TargetAnswers      = Event{3008, "target-answers", log.WarnLevel, "target that was silent takes connections again"}
+	TargetCrashed      = Event{3005, "target-crashed", log.ErrorLevel, "target crashed with requests in flight"}
+	TargetSilent       = Event{3007, "target-silent", log.WarnLevel, "target is unresponsive and accepts no connection"}
+	TargetAnswers      = Event{3008, "target-answers", log.WarnLevel, "unresponsive target accepts connections again"}
 	RequestQuarantined = Event{3006, "request-quarantined", log.ErrorLevel, "request quarantined for crashing targets"}
 )
 
@@ -60,9 +62,9 @@
 	LogAvailable     = Event{4005, "log-available", log.InfoLevel, "platform's log can be read again"}
 	RecordsExpired   = Event{4006, "records-expired", log.WarnLevel, "records needed have expired in the log"}
 	SnapshotWritten  = Event{4007, "snapshot-written", log.InfoLevel, "snapshot written to the log"}
-	SnapshotAdopted  = Event{4008, "snapshot-adopted", log.InfoLevel, "snapshot taken over"}
+	SnapshotAdopted  = Event{4008, "snapshot-adopted", log.InfoLevel, "snapshot restored"}
 	AppendUncertain  = Event{4009, "append-uncertain", log.WarnLevel, "append to the log may or may not have taken effect"}
-	SnapshotRefused  = Event{4010, "snapshot-refused", log.WarnLevel, "snapshot of a neighbour can't be used"}
+	SnapshotRefused  = Event{4010, "snapshot-refused", log.WarnLevel, "snapshot of a peer can't be used"}
 	ConfigRefused    = Event{4012, "config-refused", log.ErrorLevel, "configuration can't be used"}
 	AuditUnavailable = Event{4011, "audit-unavailable", log.WarnLevel, "audit record couldn't be written"}
 )
@@ -70,16 +72,16 @@
 // Events of membership and ownership of keys.
 var (
 	MemberDown        = Event{5001, "member-down", log.WarnLevel, "node declared down"}
-	MemberJoined      = Event{5002, "member-joined", log.DebugLevel, "node joined"}
-	DownRefuted       = Event{5003, "down-refuted", log.WarnLevel, "node refuted that it is down"}
+	MemberJoined      = Event{5002, "member-joined", log.DebugLevel, "member entry changed"}
+	DownRefuted       = Event{5003, "down-refuted", log.WarnLevel, "node refuted a report that it is down"}
 	OwnershipTaken    = Event{5004, "ownership-taken", log.InfoLevel, "node owns keys of its services"}
-	OwnershipEnded    = Event{5005, "ownership-ended", log.InfoLevel, "node owns no keys any more"}
+	OwnershipEnded    = Event{5005, "ownership-ended", log.InfoLevel, "node released the ownership of its keys"}
 	KeysHandedOver    = Event{5006, "keys-handed-over", log.InfoLevel, "records of keys handed over"}
 	HandOverFailed    = Event{5007, "hand-over-failed", log.ErrorLevel, "records of keys couldn't be handed over"}
-	IncarnationRaised = Event{5008, "incarnation-raised", log.WarnLevel, "incarnation raised above an earlier life"}
+	IncarnationRaised = Event{5008, "incarnation-raised", log.WarnLevel, "incarnation raised"}
 
-	NodeSilent           = Event{5010, "node-silent", log.WarnLevel, "node answers no call and takes no connection"}
-	NodeAnswers          = Event{5011, "node-answers", log.WarnLevel, "node that was silent takes connections again"}
+	NodeSilent           = Event{5010, "node-silent", log.WarnLevel, "node is unresponsive and accepts no connection"}
+	NodeAnswers          = Event{5011, "node-answers", log.WarnLevel, "unresponsive node accepts connections again"}
 	DirectoryUnavailable = Event{5009, "directory-unavailable", log.WarnLevel, "directory of nodes can't be read or written"}
 )
 
--- a/wharfnode/wharfevents/metrics.go
+++ b/wharfnode/wharfevents/metrics.go
@@ -53,7 +53,8 @@
 	m.set.GetOrCreateCounter(fmt.Sprintf("wharf_dispatches_total{class=%q,outcome=%q,reason=%q}", class, o.Kind, o.Reason)).Inc()
 }
 
-// ControlBytes counts the bytes sent or received in exchanges with other nodes.
+// ControlBytes counts the bytes sent or received in the exchanges that this node
+// started.
 func (m Metrics) ControlBytes(direction string, bytes int) {
 	if m.set == nil {
 		return
