--- a/wharfnode/internal/wharfcluster/agent.go
+++ b/wharfnode/internal/wharfcluster/agent.go
@@ -53,12 +53,15 @@
 	OwnsKeys bool
 	// Readers is how many nodes of a failure domain read the log, and PollWait
 	// is how long a read waits for new records.
-	Readers          int
-	PollWait         time.Duration
+	Readers  int
+	PollWait time.Duration
+	// SnapshotInterval is the time between two snapshots in the log.
 	SnapshotInterval time.Duration
-	TargetTimeout    time.Duration
-	Log              wharfevents.Log
-	Metrics          wharfevents.Metrics
+	// TargetTimeout is how long a target stays registered after its last
+	// announcement.
+	TargetTimeout time.Duration
+	Log           wharfevents.Log
+	Metrics       wharfevents.Metrics
 
 	pool  pond.Pool
 	audit auditTrail
--- a/wharfnode/internal/wharfcluster/doc.go
+++ b/wharfnode/internal/wharfcluster/doc.go
@@ -5,9 +5,10 @@
 //
 // In each gossip round a node exchanges digests and recent records with a few
 // peers (round.go, exchange.go). A few nodes of each failure domain read the
-// log (follower.go). The other nodes get its records by gossip and read the
-// log themselves only when their state has not been confirmed for a long time.
-// A node appends its own records to the log in ownership.go, snapshot.go and
-// audit.go. The directory is where nodes find each other; registration.go
-// keeps its entries up to date with the members.
+// log (follower.go). The other nodes get its records by gossip. They read the
+// log themselves only if, for a long time, neither a read nor a peer has
+// confirmed that their state is complete up to the end of the log. A node
+// appends its own records to the log in ownership.go, snapshot.go and audit.go.
+// The directory is where nodes find each other; registration.go keeps its
+// entries up to date with the members.
 package wharfcluster
--- a/wharfnode/internal/wharfcluster/exchange.go
+++ b/wharfnode/internal/wharfcluster/exchange.go
@@ -198,9 +198,9 @@
 	m.TriggerRound()
 }
 
-// confirm confirms the state by the end of the log that a peer reports. It adds
-// callTimeout to the reported age, because the message may have been in transit
-// for that long.
+// confirm records that the state is complete, if it has reached the end of the
+// log that a peer reports. It adds callTimeout to the reported age, because the
+// message may have been in transit for that long.
 func (m *Agent) confirm(now time.Time, f *wharfwire.Freshness) {
 	if f != nil {
 		m.View.Confirm(f.GetOffset(), now.Add(-callTimeout-time.Duration(f.GetAgeMs())*time.Millisecond))
@@ -215,6 +215,8 @@
 	}
 	result := m.View.Merge(members)
 	for _, n := range result.Changed {
+		// The event is logged for every change, also when a node leaves or is
+		// declared down. Its outer name stays for existing clients.
 		m.Log.Emit(wharfevents.MemberJoined,
 			wharfevents.Field{Name: "node", Value: n.Node},
 			wharfevents.Field{Name: "state", Value: n.State.String()})
@@ -270,7 +272,8 @@
 }
 
 // Consult requests the entry of a key from a previous owner, one incarnation of
-// a node. The previous owner also closes the key.
+// a node. If the previous owner hasn't dispatched the key, it closes the key: it
+// won't dispatch the key unless it becomes the owner again.
 func (m *Agent) Consult(ctx context.Context, owner wharfidempotency.Owner, id wharfidempotency.KeyID) (wharfidempotency.KeyEntry, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
--- a/wharfnode/internal/wharfcluster/expiry.go
+++ b/wharfnode/internal/wharfcluster/expiry.go
@@ -13,13 +13,14 @@
 )
 
 const (
+	// expiryInterval is how often expired targets and keys are removed.
 	expiryInterval = time.Second
 	// pruneInterval is how often connections to nodes that have left are closed.
 	pruneInterval = 30 * time.Second
 	// pauseTick is how often the pause detector reads the clock.
 	pauseTick = 250 * time.Millisecond
-	// pauseThreshold is the time between two ticks from which on the process
-	// counts as paused.
+	// pauseThreshold is the least time between two ticks that counts as a pause
+	// of the process.
 	pauseThreshold = 2 * time.Second
 )
 
--- a/wharfnode/internal/wharfcluster/follower.go
+++ b/wharfnode/internal/wharfcluster/follower.go
@@ -25,11 +25,13 @@
 	// roleInterval is how often a node that doesn't read the log checks whether
 	// it should.
 	roleInterval = 500 * time.Millisecond
-	// staleAfter is the age of the confirmation from which on the state is
+	// staleAfter is the age of the last confirmation at which the state becomes
 	// stale. A node with stale state reads the log itself, after a random wait
 	// that grows with the number of nodes, so that they don't all read at once.
 	staleAfter = 5 * time.Second
-	// staleReadInterval is the mean of that wait for each known node.
+	// staleReadInterval is the interval in which about one of the known nodes
+	// starts to read while all of them are stale. The mean wait of one node is
+	// this interval times the number of known nodes.
 	staleReadInterval = time.Second
 )
 
@@ -40,7 +42,8 @@
 	rng   *rand.Rand
 	// failed is whether the last read failed.
 	failed bool
-	// reader is whether this node is a reader at a version of the view.
+	// reader is whether this node is a reader. It was computed at this version of
+	// the view.
 	version uint64
 	reader  bool
 	// pending holds the records after a gap until one of them is a snapshot
--- a/wharfnode/internal/wharfcluster/ownership.go
+++ b/wharfnode/internal/wharfcluster/ownership.go
@@ -20,7 +20,8 @@
 	// ownershipInterval is how often the owned and the served services are
 	// compared.
 	ownershipInterval = 200 * time.Millisecond
-	// applyTimeout bounds the wait until an appended record shows in the state.
+	// applyTimeout bounds the wait until an appended record is applied to the
+	// state of this node.
 	applyTimeout = 3 * time.Second
 	// maxAppendPause bounds the exponential backoff between appends.
 	maxAppendPause = 10 * time.Second
--- a/wharfnode/internal/wharfcluster/round.go
+++ b/wharfnode/internal/wharfcluster/round.go
@@ -80,7 +80,7 @@
 		if seed == self.Address {
 			continue
 		}
-		// An unreachable seed gets the entry of this node in a later round of
+		// An unreachable seed gets the entry of this node later, by gossip from
 		// other nodes.
 		_ = m.joinSeed(ctx, seed)
 	}
--- a/wharfnode/internal/wharfcluster/snapshot.go
+++ b/wharfnode/internal/wharfcluster/snapshot.go
@@ -20,8 +20,9 @@
 // has written a snapshot, the other readers needn't write one.
 type snapshots struct {
 	agent *Agent
-	// seen is the offset of the last snapshot in the log. seenAt is when this
-	// node noticed it, or later tried to write a snapshot itself.
+	// seen is the offset of the last snapshot in the log. seenAt is the latest
+	// of three times: when run started, when this node noticed that snapshot,
+	// and when this node last tried to append a snapshot.
 	seen   uint64
 	seenAt time.Time
 }
