--- a/wharfnode/internal/wharfadmin/api.go
+++ b/wharfnode/internal/wharfadmin/api.go
@@ -101,7 +101,7 @@
 		return t, &apiError{"announcement-syntax", err.Error()}
 	}
 	if _, err := decoder.Token(); !errors.Is(err, io.EOF) {
-		return t, &apiError{"announcement-syntax", "more follows the announcement"}
+		return t, &apiError{"announcement-syntax", "the body has data after the announcement"}
 	}
 	if t.Service == "" {
 		return t, &apiError{"service-missing", "service is empty"}
@@ -134,10 +134,15 @@
 
 // Status is the response body of the status route of a node.
 type Status struct {
-	Self     wharfmember.Member   `json:"self"`
-	Offset   uint64               `json:"offset"`
-	StateAge float64              `json:"state-age-seconds"`
-	Members  int                  `json:"members"`
+	Self wharfmember.Member `json:"self"`
+	// Offset is the log offset of the state.
+	Offset uint64 `json:"offset"`
+	// StateAge is the age of the last confirmation of the state, or
+	// unconfirmedAge.
+	StateAge float64 `json:"state-age-seconds"`
+	Members  int     `json:"members"`
+	// Calls is the number of requests in flight at the proxy of this node.
+	// Served is the number of calls that the targets of this node are serving.
 	Calls    int                  `json:"calls"`
 	Served   int                  `json:"served"`
 	Keys     int                  `json:"keys"`
--- a/wharfnode/internal/wharfadmin/quarantine.go
+++ b/wharfnode/internal/wharfadmin/quarantine.go
@@ -23,7 +23,8 @@
 	Target      string `json:"target"`
 	Incarnation uint64 `json:"incarnation"`
 	Number      int    `json:"number"`
-	// Cleared is whether the request has since completed without a crash.
+	// Cleared is whether the request has since completed without a crash. Its
+	// JSON name stays for existing clients.
 	Cleared bool `json:"forgiven"`
 }
 
--- a/wharfnode/internal/wharfview/members.go
+++ b/wharfnode/internal/wharfview/members.go
@@ -26,7 +26,7 @@
 }
 
 // UpdateSelf changes the entry of this node and raises its version, so that
-// the change wins everywhere.
+// other nodes replace the older entry by it.
 func (v *View) UpdateSelf(change func(m wharfmember.Member) wharfmember.Member) {
 	v.membersMu.Lock()
 	m := change(v.SelfMember())
--- a/wharfnode/internal/wharfview/view.go
+++ b/wharfnode/internal/wharfview/view.go
@@ -109,7 +109,8 @@
 	return wharfidempotency.OwnershipView{Table: v.State().Ownership(), ConfirmedAt: *v.confirmedAt.Load()}
 }
 
-// DedupWindow returns the bounds on resends from the present configuration.
+// DedupWindow returns the dedup window of the present configuration: the times
+// that bound how long the record of a key is needed.
 func (v *View) DedupWindow() wharfidempotency.DedupWindow {
 	c := v.Config()
 	return wharfidempotency.DedupWindow{Resend: c.ResendHorizon(), Skew: c.ClockSkew(), Staleness: c.HomeStaleness()}
@@ -120,8 +121,9 @@
 	return *v.confirmedAt.Load()
 }
 
-// Confirm records that the log ended at an offset at a time. It has no effect if
-// the state hasn't reached the offset or is confirmed for a later time.
+// Confirm records that at the given time the log ended at the given offset, so
+// that the state was complete. It has no effect if the state hasn't reached the
+// offset or is confirmed for a later time.
 func (v *View) Confirm(offset uint64, at time.Time) {
 	if v.State().Offset() < offset {
 		return
@@ -135,8 +137,8 @@
 }
 
 // ResetConfirmation discards the confirmation that the state is complete. After a
-// process pause the node calls it, and then runs no key that a caller chose until
-// the state is confirmed again.
+// process pause the node calls it, and then dispatches no request with a caller's
+// idempotency key until the state is confirmed again.
 func (v *View) ResetConfirmation() {
 	v.confirmedAt.Store(&time.Time{})
 }
@@ -189,9 +191,9 @@
 	}
 }
 
-// RecordsAfter returns the kept records after an offset, up to a number of bytes
-// but at least one. It returns false if some records after the offset are no
-// longer kept.
+// RecordsAfter returns the kept records after an offset, up to maxBytes bytes of
+// data but at least one record. It returns false if some records after the offset
+// are no longer kept.
 func (v *View) RecordsAfter(offset uint64, maxBytes int) ([]wharfstream.Record, bool) {
 	v.stateMu.Lock()
 	defer v.stateMu.Unlock()
--- a/wharfnode/wharfprotocol/protocol.go
+++ b/wharfnode/wharfprotocol/protocol.go
@@ -19,7 +19,8 @@
 	Caller string
 	// Key is the caller's idempotency key.
 	Key string
-	// Context links the request to the request that it is made for.
+	// Context names the request that the calling service is serving while it
+	// makes this one. It is empty for a client request.
 	Context string
 	// Timeout is how long the caller waits, zero if it gave none.
 	Timeout time.Duration
--- a/wharfnode/wharfsettings/settings.go
+++ b/wharfnode/wharfsettings/settings.go
@@ -38,9 +38,9 @@
 // Variant selects between alternative algorithms, so that they can be compared.
 type Variant struct {
 	Limiter      string        `default:"aimd" enum:"aimd,gradient,slots,off" env:"WHARF_LIMITER" help:"Concurrency limit of a target: aimd, gradient, slots (as many as the target announces), or off (no limit)."`
-	QueueOrder   string        `default:"adaptive" enum:"adaptive,fifo,arrival,objective" env:"WHARF_QUEUE_ORDER" help:"Order of waiting requests: adaptive, fifo (within a class), arrival, or objective."`
-	Levels       bool          `default:"true" negatable:"" env:"WHARF_LEVELS" help:"Shed requests by admission level at every hop."`
-	MaxWait      time.Duration `default:"0s" env:"WHARF_MAX_WAIT" help:"Longest queue of a target, as the time that it takes to drain; 0s for twice the limit."`
+	QueueOrder   string        `default:"adaptive" enum:"adaptive,fifo,arrival,objective" env:"WHARF_QUEUE_ORDER" help:"Order of waiting requests: adaptive (by class and call depth, then first-in-first-out, or last-in-first-out while there is a standing queue), fifo (by class and call depth, then always first-in-first-out), arrival (first-in-first-out over all classes), or objective (by class, then by the time after which the response loses value)."`
+	Levels       bool          `default:"true" negatable:"" env:"WHARF_LEVELS" help:"Reject the requests of lowest priority during overload, at the target's node and already at the sending node."`
+	MaxWait      time.Duration `default:"0s" env:"WHARF_MAX_WAIT" help:"Capacity of a target's queue: as many requests as the target finishes in this time, but at least twice its concurrency limit; 0s for twice the limit."`
 	Backpressure bool          `default:"false" negatable:"" env:"WHARF_BACKPRESSURE" help:"Reject a share of client requests while their downstream calls are delayed in queues."`
 	Retries      string        `default:"budgeted" enum:"budgeted,plain,off" env:"WHARF_RETRIES" help:"Retries: budgeted, plain (three attempts at every hop), or off."`
 }
