--- a/wharfctl/audit.go
+++ b/wharfctl/audit.go
@@ -66,7 +66,8 @@
 	return out
 }
 
-// ownershipLines returns a line for each record about the ownership of keys.
+// ownershipLines returns a line for each record about the ownership of keys. The
+// line of an eviction names its author and then the evicted node.
 func ownershipLines(records []wharfstream.Record) []auditLine {
 	var out []auditLine
 	for _, r := range records {
@@ -76,7 +77,7 @@
 		}
 		actor := e.Ownership.Node
 		if e.Ownership.Kind == wharfidempotency.Evict {
-			actor = e.Ownership.By + " for " + e.Ownership.Node
+			actor = e.Ownership.By + " evicted " + e.Ownership.Node
 		}
 		out = append(out, auditLine{r.Time, fmt.Sprintf("%s: ownership %s at offset %d", actor, e.Ownership.Kind, r.Offset)})
 	}
--- a/wharfctl/evict.go
+++ b/wharfctl/evict.go
@@ -39,6 +39,8 @@
 		}
 		for _, m := range members {
 			if m.Node == c.ID && m.State < stateDown {
+				// The code stays for existing clients. It means that the peers
+				// still reach the node.
 				return oops.Code("still-heard").Errorf("node %s is not down according to its peers; stop it instead", c.ID)
 			}
 		}
--- a/wharfctl/internal/wharfpublish/publisher.go
+++ b/wharfctl/internal/wharfpublish/publisher.go
@@ -147,6 +147,7 @@
 	if !mayBeAppended {
 		return Result{Known: true, Err: oops.Code("not-published").Wrapf(lastErr, "nothing was published")}
 	}
+	// The code stays for existing clients. It means that the result is unknown.
 	return Result{Err: oops.Code("unknown").Wrapf(errors.Join(lastErr, ctx.Err()), "the change may or may not have been published")}
 }
 
--- a/wharfctl/status.go
+++ b/wharfctl/status.go
@@ -39,8 +39,10 @@
 	Running int    `json:"running"`
 	Queued  int    `json:"queued"`
 	Limit   int    `json:"limit"`
-	Level   int    `json:"level"`
-	Crashes int    `json:"crashes"`
+	// Level is the admission level, the largest priority number that the target
+	// admits. It is 2047 (wharfadmission.LevelOpen) if all requests are admitted.
+	Level   int `json:"level"`
+	Crashes int `json:"crashes"`
 }
 
 // Run prints the status.
--- a/wharfctl/terminal.go
+++ b/wharfctl/terminal.go
@@ -99,7 +99,8 @@
 	return wharfcli.ExitError{Code: wharfcli.ExitUsage, Err: issues}
 }
 
-// report prints the result of publishing a change. The returned error carries
+// report prints the result of publishing a change: accepted, rejected or unknown.
+// Unknown means that the change may have been published. The returned error carries
 // the exit code; it is nil if the change was accepted.
 func (t *terminal) report(r wharfpublish.Result) error {
 	switch {
