--- a/scripts/bench.sh
+++ b/scripts/bench.sh
@@ -38,6 +38,7 @@
   base_port=$((base_port + 400))
 }
 
+# latency: measures a call without nodes, through two relays and through two nodes.
 latency() {
   reset
   node_flags=""
@@ -55,6 +56,8 @@
   "$bin/wharfstandin" load --name "through two nodes" --entries "${entry_urls[1]}" "${args[@]}" --json "$out/latency-nodes.json"
 }
 
+# trouble VARIANT: measures one variant of the node flags under the overload that
+# the head of this file describes.
 trouble() {
   reset
   node_flags=$(variant_flags "$1")
--- a/scripts/capacity.sh
+++ b/scripts/capacity.sh
@@ -42,6 +42,8 @@
     fi
   done
   sleep 8
+  # wharfstandin spread publishes configuration changes one by one, 20 by default,
+  # and measures how long each takes to reach all nodes that it is given.
   "$bin/wharfstandin" spread --log-url "$log_url" --nodes "$(join_by_comma "${admins[@]}")"
   sleep 2
   measure "idle"
@@ -65,7 +67,7 @@
     rss=$((rss + $(rss_kb "${nodes[$i]}")))
   done
   awk -v n="${#nodes[@]}" -v c=$((cpu - cpu0)) -v b=$((sent - sent0)) -v r="$rss" -v s="$span" -v t="$ticks" -v what="$1" 'BEGIN {
-    printf "%d nodes, %s: %.2f%% of a core, %.0f B/s in exchanges begun, %.1f MB resident, each\n",
+    printf "%d nodes, %s, per node: %.2f%% of a core, %.0f B/s sent and received in the exchanges that it started, %.1f MB resident\n",
       n, what, 100 * c / t / s / n, b / s / n, r / 1024 / n }'
 }
 
--- a/scripts/cluster.sh
+++ b/scripts/cluster.sh
@@ -1,6 +1,10 @@
 # Functions that start and stop the processes of a small system on the loopback
 # interface. Sourced by demo.sh, bench.sh and capacity.sh. When the script exits,
 # every process that it started is stopped by its process ID.
+#
+# The sourcing script sets base_port, the port of the log, before it starts
+# anything. It may set node_flags and TARGET_FLAGS, which are passed to all nodes
+# and to all targets that have a node.
 
 bin="$(cd "$(dirname "${BASH_SOURCE[0]}")/.." && pwd)/bin"
 run_dir="$(mktemp -d)"
