--- a/wharfnode/wharfserver/admin_test.go
+++ b/wharfnode/wharfserver/admin_test.go
@@ -50,8 +50,10 @@
 		{"audit", "GET", "/wharf/v1/audit", "", 200, ""},
 		{"explain", "GET", "/wharf/v1/explain?service=reads", "", 200, `"class":"default","rank":7,"idempotent":true,"timeout-ms":5000`},
 		{"explain without service", "GET", "/wharf/v1/explain", "", 400, "service-missing"},
+		// The field "forgiven" is true for a cleared crash. The name stays for
+		// existing clients.
 		{"quarantine", "GET", "/wharf/v1/quarantine", "", 200, `"crashes":[{"target":"127.0.0.1:1","incarnation":3,"number":1,"forgiven":false}]`},
-		{"fingerprint in the form of the audit trail", "GET", "/wharf/v1/quarantine", "", 200, `[{"fingerprint":"ff","quarantined":false`},
+		{"fingerprint in hexadecimal, as in the audit trail", "GET", "/wharf/v1/quarantine", "", 200, `[{"fingerprint":"ff","quarantined":false`},
 		{"metrics", "GET", "/metrics", "", 200, "wharf_state_offset 1"},
 		{"unknown path", "GET", "/wharf/v1/nothing", "", 404, ""},
 		{"leave", "DELETE", "/wharf/v1/targets?address=" + address, "", 204, ""},
--- a/wharfnode/wharfserver/announce.go
+++ b/wharfnode/wharfserver/announce.go
@@ -39,8 +39,8 @@
 	return n.view.State().Routes().HasService(name)
 }
 
-// Ready reports whether the node accepts requests of callers: it has routes and
-// isn't stopping.
+// Ready reports whether callers should send requests to this node: it has routes
+// and isn't stopping. A stopping node still serves callers for Options.Linger.
 func (n *Node) Ready() bool {
 	return n.view.State().Routes() != nil && !n.stopping.Load()
 }
--- a/wharfnode/wharfserver/caller_test.go
+++ b/wharfnode/wharfserver/caller_test.go
@@ -34,6 +34,8 @@
 		{"missing service", request{}, 400, "missing-service"},
 		{"unknown service", request{service: "nobody"}, 404, "unknown-service"},
 		{"malformed context", request{service: "schedules", headers: [][2]string{{wharfwire.HeaderContext, "x"}}}, 400, "malformed-context"},
+		// The fields of the context are version, request id, grant, depth and
+		// attempts. The node's ledger holds no grant 7, as after the end of a call.
 		{"context of an ended call", request{service: "schedules", headers: [][2]string{{wharfwire.HeaderContext, "1-" + id + "-7-1-9"}}}, 503, "attempts-spent"},
 		{"negative timeout", request{service: "schedules", headers: [][2]string{{wharfwire.HeaderTimeout, "-5"}}}, 400, "malformed-timeout"},
 		{"timeout that isn't a number", request{service: "schedules", headers: [][2]string{{wharfwire.HeaderTimeout, "soon"}}}, 400, "malformed-timeout"},
--- a/wharfnode/wharfserver/chain_test.go
+++ b/wharfnode/wharfserver/chain_test.go
@@ -17,9 +17,9 @@
 )
 
 // TestChainOfNineServices sends a request through nine services that each call
-// the next one. Without faults the default attempts must suffice. The first
-// call gets its class from the rules. The later calls must keep that class,
-// although the rules assign another class to their services.
+// the next one. Without faults the default number of attempts must suffice. The
+// first call gets its class from the rules. The later calls must keep that
+// class, although the rules assign another class to their services.
 func TestChainOfNineServices(t *testing.T) {
 	is := is.New(t)
 	c := newTestCluster(t)
--- a/wharfnode/wharfserver/crash_test.go
+++ b/wharfnode/wharfserver/crash_test.go
@@ -89,11 +89,11 @@
 	is.True(len(crashed) <= 2)
 }
 
-// TestSafeRequestInFlightDuringCrashIsServed guards against the quarantine of a
-// safe request that was in flight at a target while another request crashed the
-// target. Every node must serve the safe request afterwards, even if there is
-// only one target.
-func TestSafeRequestInFlightDuringCrashIsServed(t *testing.T) {
+// TestRequestInFlightDuringOtherCrashIsServed guards against the quarantine of a
+// request that crashes no target, but was in flight at a target while another
+// request crashed the target. Every node must serve the first request
+// afterwards, even if there is only one target.
+func TestRequestInFlightDuringOtherCrashIsServed(t *testing.T) {
 	for _, targets := range []int{1, 2, 5} {
 		t.Run(fmt.Sprint(targets, " targets"), func(t *testing.T) {
 			is := is.New(t)
--- a/wharfnode/wharfserver/harness_test.go
+++ b/wharfnode/wharfserver/harness_test.go
@@ -67,7 +67,8 @@
 	return f.Memory.Read(ctx, stream, from, limit, min(wait, 100*time.Millisecond))
 }
 
-// publish appends a configuration change with documents.
+// publish appends a configuration change with documents, whatever faults are
+// injected.
 func (f *faultyLog) publish(t *testing.T, id string, documents ...wharfconfig.Document) {
 	t.Helper()
 	change := wharfconfig.Change{ID: id, Author: "test"}
@@ -223,9 +224,12 @@
 type reply struct {
 	status  int
 	outcome string
-	reason  string
-	body    string
-	err     error
+	// reason is the value of the wharf-reason header. In the values, "home" is
+	// the owner of a key and "silent" means unresponsive. These names stay for
+	// existing callers.
+	reason string
+	body   string
+	err    error
 }
 
 // request is a request of a caller. The default method is GET.
--- a/wharfnode/wharfserver/node.go
+++ b/wharfnode/wharfserver/node.go
@@ -81,8 +81,9 @@
 	return s.agent.Exchange(ctx, r)
 }
 
-// Consult returns this node's record of an idempotency key and closes the key
-// on this node.
+// Consult returns this node's record of an idempotency key to the key's new
+// owner, and closes the key: this node then dispatches no request with the key
+// unless it becomes the owner again.
 func (s nodeService) Consult(ctx context.Context, r *wharfwire.ConsultRequest) (*wharfwire.ConsultResponse, error) {
 	return s.Server.Consult(ctx, r)
 }
@@ -208,6 +209,8 @@
 	return nil
 }
 
+// listen opens the listeners of the caller, admin and peer servers, in this
+// order.
 func (n *Node) listen(ctx context.Context) ([]net.Listener, error) {
 	var listeners []net.Listener
 	var errs []error
@@ -255,7 +258,8 @@
 	listener net.Listener
 }
 
-// run serves until the server is shut down. Serve returns at that time.
+// run serves until the server is shut down. The error of Serve is ignored,
+// because Serve returns one after every shutdown.
 func (s *listeningServer) run() {
 	_ = s.server.Serve(s.listener)
 }
--- a/wharfnode/wharfserver/once_test.go
+++ b/wharfnode/wharfserver/once_test.go
@@ -74,7 +74,8 @@
 	tests := []struct {
 		name string
 		key  string
-		// resendOutcome is the outcome of a resend.
+		// resendOutcome is the outcome of a resend. It isn't used without a key,
+		// because then the node can't recognize a resend.
 		resendOutcome string
 	}{
 		{"key of the caller", "k", "unknown"},
--- a/wharfnode/wharfserver/options.go
+++ b/wharfnode/wharfserver/options.go
@@ -24,8 +24,8 @@
 	Seeds(ctx context.Context) ([]string, error)
 	// Enter writes the entry of this node.
 	Enter(ctx context.Context, self wharfmember.Member) error
-	// Remove deletes the entry of a node that has ended.
-	Remove(ctx context.Context, ended wharfmember.Member) error
+	// Remove deletes the entry of a node that has left or failed.
+	Remove(ctx context.Context, departed wharfmember.Member) error
 }
 
 // Options replace the defaults of a node. A zero field means the default.
@@ -39,14 +39,16 @@
 	// Directory lists the nodes to join. The default returns the seeds of the
 	// settings.
 	Directory Directory
-	// WithoutKeys says that callers send no idempotency keys, so that the node
+	// WithoutKeys is true if callers send no idempotency keys. The node then
 	// needs no ownership records.
 	WithoutKeys bool
-	// RefusesAfterCrash says that a target refuses connections for a while
-	// after it crashed.
+	// RefusesAfterCrash is true if a crashed target refuses connections for a
+	// while. If such a target accepts a new connection after a request has
+	// failed, the node doesn't record a crash, because only the response was
+	// lost.
 	RefusesAfterCrash bool
-	// Readers is the number of nodes of a failure domain that read the log.
-	// Zero means defaultReaders.
+	// Readers is the number of nodes of a failure domain that read the log. The
+	// other nodes get its records by gossip. Zero means defaultReaders.
 	Readers int
 	// PollWait is how long a read of the log waits for records. Zero means
 	// defaultPollWait.
--- a/wharfnode/wharfserver/restart_test.go
+++ b/wharfnode/wharfserver/restart_test.go
@@ -10,10 +10,11 @@
 	"ragwortwharf.dev/wharfnode/internal/wharftest"
 )
 
-// TestRestartWithoutDirectoryIsFound guards against a restarted node that stays
-// unknown because it has no seeds and the log is down. The other nodes must
-// find it and its target.
-func TestRestartWithoutDirectoryIsFound(t *testing.T) {
+// TestRestartedNodeWithoutSeedsIsFound guards against a restarted node that stays
+// unknown to the other nodes. It has no seeds, so it doesn't join them, and the
+// log is down. The other nodes must find it at its old address, and then its
+// target.
+func TestRestartedNodeWithoutSeedsIsFound(t *testing.T) {
 	is := is.New(t)
 	c := newTestCluster(t)
 	n, other := c.startNode("domain-a"), c.startNode("domain-b")
--- a/wharfnode/wharfserver/stop.go
+++ b/wharfnode/wharfserver/stop.go
@@ -31,7 +31,8 @@
 		}
 	}
 	n.agent.UpdateSelf(func(m wharfmember.Member) wharfmember.Member { return m.WithState(wharfmember.Left) })
-	// Callers notice only after a while that the node accepts no new requests.
+	// Callers send requests to this node until they notice that it isn't ready, so
+	// it serves them until Options.Linger has passed.
 	wharftimer.Sleep(ctx, max(propagationTime, n.options.Linger-time.Since(began)))
 	n.shutdown(ctx)
 	n.peers.Close()
@@ -40,9 +41,9 @@
 }
 
 // releaseOwnership ends this node's ownership of keys and hands the key records
-// to the next owners. If the platform's log is unavailable, the node waits at
-// most ownershipReleaseTimeout. The next owners then don't have the records, as
-// after a crash.
+// to the next owners. If the log is unavailable, the node waits at most
+// ownershipReleaseTimeout. The next owners then don't have the records, as after
+// a crash.
 func (n *Node) releaseOwnership(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, ownershipReleaseTimeout)
 	defer cancel()
@@ -57,7 +58,7 @@
 		select {
 		case <-ticker.C:
 		case <-ctx.Done():
-			n.logCutRequests()
+			n.logAbortedRequests()
 			return
 		}
 	}
@@ -67,7 +68,7 @@
 // is done, and closes the connections that are still open then.
 func (n *Node) shutdown(ctx context.Context) {
 	if n.caller.Shutdown(ctx) != nil {
-		n.logCutRequests()
+		n.logAbortedRequests()
 		_ = n.caller.Close()
 	}
 	if n.admin.Shutdown(ctx) != nil {
@@ -77,8 +78,10 @@
 	n.grpc.Stop()
 }
 
-// logCutRequests logs that the stop timeout aborts requests in flight.
-func (n *Node) logCutRequests() {
+// logAbortedRequests logs that the stop timeout aborts requests in flight. The
+// field "served" counts those of the node's targets, and "calls" those of its
+// callers.
+func (n *Node) logAbortedRequests() {
 	n.log.Emit(wharfevents.StopCutRequests,
 		wharfevents.Field{Name: "served", Value: n.target.Calls()},
 		wharfevents.Field{Name: "calls", Value: n.proxy.Calls()})
--- a/wharfnode/wharfserver/trouble_test.go
+++ b/wharfnode/wharfserver/trouble_test.go
@@ -102,8 +102,8 @@
 
 // TestLeavingTargetGetsNoNewRequests makes a target leave in each possible way
 // while a request is in flight there. It guards against new requests that reach
-// the target after the others know that it leaves, and against an abort of the
-// one in flight.
+// the target after the other node knows that the target is leaving, and against
+// an abort of the request in flight.
 func TestLeavingTargetGetsNoNewRequests(t *testing.T) {
 	leave := true
 	tests := []struct {
@@ -150,7 +150,7 @@
 			c.startTarget(staying, "reads", hello)
 			address := strings.TrimPrefix(server.URL, "http://")
 			tc.startLeaving(t, c, leaving, address)
-			wharftest.Eventually(t, "the other node knows", func() bool {
+			wharftest.Eventually(t, "the other node knows that the target is leaving", func() bool {
 				for _, target := range staying.view.Targets("reads") {
 					if target.Address == address {
 						return target.Leaving
@@ -275,7 +275,8 @@
 }
 
 // TestLostAppendResponse guards against a node that never owns keys because the
-// response to its ownership record was lost. The append itself succeeded.
+// response to the append of its ownership record was lost. The append itself
+// succeeded.
 func TestLostAppendResponse(t *testing.T) {
 	is := is.New(t)
 	c := newTestCluster(t)
