--- a/wharfnode/internal/wharfprocess/doc.go
+++ b/wharfnode/internal/wharfprocess/doc.go
@@ -1,6 +1,6 @@
 // Package wharfprocess tests the programs as separate processes: it kills,
-// stops, continues and restarts them, and counts the effects of requests at the
-// targets.
+// freezes (SIGSTOP), stops (SIGTERM) and restarts them, and counts the effects of
+// requests at the targets.
 //
 // The package contains only tests. They need the programs that "make build"
 // writes to bin.
--- a/wharfnode/internal/wharftest/wharftest.go
+++ b/wharfnode/internal/wharftest/wharftest.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// timeout bounds the wait for a condition. It is far longer than any promised
-// time, because these tests check outcomes, not durations.
+// timeout bounds the wait for a condition. It is far longer than the time
+// that a node may take, because these tests check outcomes, not durations.
 const timeout = 60 * time.Second
 
 // Eventually polls condition every 10 ms until it holds. After timeout it fails
@@ -29,8 +29,8 @@
 // the operating system. This keeps other sockets from taking a port between its
 // allocation and its use. It is safe for concurrent use.
 type Ports struct {
-	// First is the port before the first one of the range. Each test package
-	// has its own range.
+	// First is one less than the first port of the range. Each test package has
+	// its own range.
 	First uint32
 	used  atomic.Uint32
 }
