--- a/wharfstandin/internal/wharfload/report.go
+++ b/wharfstandin/internal/wharfload/report.go
@@ -51,6 +51,7 @@
 	CapacityShare *float64 `json:"capacity-share,omitempty"`
 	// ForeignResponses counts the responses with status 200 that were read to
 	// their end but aren't a complete response to the caller's request.
+	// The JSON name stays for existing readers of reports.
 	ForeignResponses int `json:"foreign-answers"`
 	// Dropped counts the user requests that weren't sent because maxCallers user
 	// requests were already in flight.
@@ -211,7 +212,11 @@
 	return -1
 }
 
-// WriteTable writes the report as text.
+// WriteTable writes the report as text. The printed names stay for existing
+// readers of reports: before/s, during/s and after/s are the goodput before,
+// during and after the disruption, offered/s is OfferedDuring, "foreign answers"
+// are ForeignResponses, "the trouble" is the disruption, and "the capacity left"
+// is Disruption.Capacity.
 func (r Report) WriteTable(w io.Writer) {
 	_, _ = fmt.Fprintf(w, "== %s\n", r.Name)
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
--- a/wharfstandin/internal/wharfload/run.go
+++ b/wharfstandin/internal/wharfload/run.go
@@ -60,7 +60,11 @@
 	// ok reports whether the caller got a complete response to its request.
 	ok    bool
 	sends int
-	// reason is the reason of the last failed send, or "caller-timeout".
+	// reason is "caller-timeout" if the timeout of the user request passed, or
+	// else the reason of the last failed send: "connection" if there was no
+	// response, "answer-broken" if a response with status 200 wasn't a complete
+	// response to the request, or else the wharf-reason header. A response
+	// without that header counts as "status-" and its status.
 	reason string
 	// foreign is the number of sends that count as ForeignResponses.
 	foreign int
@@ -135,7 +139,8 @@
 		ms = g.plan.Disruption.SlowToMs
 	}
 	for _, url := range g.plan.Disruption.Slow {
-		// An error is ignored: a stand-in that isn't running shows in the report.
+		// An error is ignored. If a stand-in isn't running, the report shows that
+		// requests to it failed.
 		_, _ = g.control.R().SetContext(ctx).SetBody(wharftargetservice.Control{ServiceTimeMs: &ms}).Put(url + "/standin/control")
 	}
 }
--- a/wharfstandin/internal/wharftargetservice/target.go
+++ b/wharfstandin/internal/wharftargetservice/target.go
@@ -87,7 +87,7 @@
 	// Requests that run or wait keep using the old slots.
 	Slots *int `json:"slots,omitempty"`
 	// AnnouncedSlots is the number of slots that the target announces from now
-	// on.
+	// on. Its JSON name stays for existing clients.
 	AnnouncedSlots *int `json:"false-slots,omitempty"`
 	// Silent stops the announcements, or resumes them if false.
 	Silent *bool `json:"silent,omitempty"`
@@ -240,7 +240,7 @@
 		os.Exit(crashExitCode)
 	}
 	if _, err := io.Copy(io.Discard, r.Body); err != nil {
-		http.Error(w, "body broke off", http.StatusBadRequest)
+		http.Error(w, "request body is incomplete", http.StatusBadRequest)
 		return
 	}
 	ctx := t.workContext(r)
