--- a/wharf/wharfadmission/aimd.go
+++ b/wharf/wharfadmission/aimd.go
@@ -79,7 +79,7 @@
 		return
 	}
 	a.window.add(now, s, &a.baseline)
-	if a.slowStart && s.Result == Answered && s.Saturated {
+	if a.slowStart && s.Result == Responded && s.Saturated {
 		a.limit = clampLimit(a.limit+1, a.slots)
 	}
 	if !a.window.complete(now) {
--- a/wharf/wharfadmission/backpressure.go
+++ b/wharf/wharfadmission/backpressure.go
@@ -137,7 +137,7 @@
 			if b.uncongestedWindows[rank] > 0 {
 				b.congestionShare[rank], b.uncongestedWindows[rank] = admitted, 0
 			}
-			admitted = max(admitted*max(float64(threshold)/float64(b.queueDelay), maxCut(rank)), minAdmittedShare)
+			admitted = max(admitted*max(float64(threshold)/float64(b.queueDelay), cutFactor(rank)), minAdmittedShare)
 		}
 		b.rejectedShare[rank] = 1 - admitted
 	}
@@ -155,9 +155,9 @@
 	return min(admitted+step, 1)
 }
 
-// maxCut returns the smallest factor by which one window multiplies the admitted
+// cutFactor returns the smallest factor by which one window multiplies the admitted
 // share of a rank.
-func maxCut(rank int) float64 {
+func cutFactor(rank int) float64 {
 	return max(topRankCutFactor-cutFactorPerRank*float64(rank), minCutFactor)
 }
 
--- a/wharf/wharfadmission/gate.go
+++ b/wharf/wharfadmission/gate.go
@@ -165,10 +165,10 @@
 	Queued  int
 	Limit   int
 	Level   Priority
-	// LowestRank is the rank of the least important request in the queue, which is
-	// the largest rank number, or -1 if the queue is empty. A request of this rank
-	// is shed before a more important one.
-	LowestRank int
+	// LeastImportantRank is the rank of the least important request in the queue,
+	// which is the largest rank number, or -1 if the queue is empty. A request of
+	// this rank is shed before a more important one.
+	LeastImportantRank int
 	// QueueRoom is the number of further requests that fit into the queue.
 	QueueRoom int
 }
@@ -176,12 +176,12 @@
 // Load returns the current load.
 func (g *Gate) Load() Load {
 	l := Load{
-		Running:    len(g.running),
-		Queued:     g.queue.len(),
-		Limit:      g.cfg.Limiter.Limit(),
-		Level:      LevelOpen,
-		LowestRank: g.queue.lowestRank(),
-		QueueRoom:  max(g.queueCapacity()-g.queue.len(), 0),
+		Running:            len(g.running),
+		Queued:             g.queue.len(),
+		Limit:              g.cfg.Limiter.Limit(),
+		Level:              LevelOpen,
+		LeastImportantRank: g.queue.leastImportantRank(),
+		QueueRoom:          max(g.queueCapacity()-g.queue.len(), 0),
 	}
 	if g.cfg.Levels {
 		l.Level = g.level.Threshold()
@@ -191,7 +191,7 @@
 
 func (g *Gate) observe(now time.Time, elapsed time.Duration, s Sample) {
 	g.cfg.Limiter.Observe(now, s)
-	if s.Result != Answered {
+	if s.Result != Responded {
 		return
 	}
 	g.latency.smooth(s.Rank, s.Latency.Seconds(), latencyWeight)
--- a/wharf/wharfadmission/gate_test.go
+++ b/wharf/wharfadmission/gate_test.go
@@ -101,7 +101,7 @@
 		delete(c.running, id)
 		c.ended++
 		latency := time.Duration(rapid.IntRange(1, 200).Draw(t, "latency")) * time.Millisecond
-		return c.apply(now, c.gate.Finish(now, id, latency, Answered))
+		return c.apply(now, c.gate.Finish(now, id, latency, Responded))
 	case 1:
 		id, ok := smallestID(c.waiting)
 		if !ok {
@@ -153,7 +153,7 @@
 // ignores the rank violates them.
 func TestArrivalOrderBreaksInvariant(t *testing.T) {
 	is := is.New(t)
-	c := newGateChecker(Arrival, false, 1)
+	c := newGateChecker(ArrivalOrder, false, 1)
 	var err error
 	for i := range 20 {
 		ticket := Ticket{ID: uint64(i), Rank: 3, Arrived: epoch.Add(time.Duration(i)), Deadline: epoch.Add(time.Hour)}
@@ -175,7 +175,7 @@
 	g.Offer(epoch, Ticket{ID: 1, Deadline: deadline, Arrived: epoch})
 	g.Offer(epoch, Ticket{ID: 2, Depth: 0, Deadline: deadline, Arrived: epoch})
 	g.Offer(epoch, Ticket{ID: 3, Depth: 4, Deadline: deadline, Arrived: epoch.Add(1)})
-	is.Equal(g.Finish(epoch, 1, time.Millisecond, Answered).Run, []uint64{3})
+	is.Equal(g.Finish(epoch, 1, time.Millisecond, Responded).Run, []uint64{3})
 }
 
 // TestLatestStartLeavesTimeForRefusal guards against a refusal that reaches the
@@ -186,7 +186,7 @@
 	deadline := epoch.Add(time.Second)
 	is.Equal(g.LatestStart(Ticket{Deadline: deadline}), deadline.Add(-responseMargin))
 	g.Offer(epoch, Ticket{ID: 1, Deadline: deadline})
-	g.Finish(epoch.Add(300*time.Millisecond), 1, 300*time.Millisecond, Answered)
+	g.Finish(epoch.Add(300*time.Millisecond), 1, 300*time.Millisecond, Responded)
 	is.Equal(g.LatestStart(Ticket{Deadline: deadline}), deadline.Add(-300*time.Millisecond))
 }
 
@@ -198,7 +198,7 @@
 	g := NewGate(Config{Limiter: fixedLimit(2)})
 	g.Offer(epoch, Ticket{ID: 1, Deadline: epoch.Add(time.Minute)})
 	now := epoch.Add(time.Second)
-	g.Finish(now, 1, time.Second, Answered) // a request takes a second
+	g.Finish(now, 1, time.Second, Responded) // a request takes a second
 	g.Offer(now, Ticket{ID: 2, Deadline: now.Add(time.Minute)})
 	is.Equal(len(g.Offer(now, Ticket{ID: 3, Deadline: now.Add(400 * time.Millisecond)}).Refused), 1)
 	is.Equal(g.Offer(now, Ticket{ID: 4, Deadline: now.Add(600 * time.Millisecond)}).Run, []uint64{4})
@@ -224,7 +224,7 @@
 	for i := range 40 {
 		g.Offer(now, Ticket{ID: uint64(i), Deadline: now.Add(time.Second)})
 		now = now.Add(100 * time.Millisecond)
-		g.Finish(now, uint64(i), 100*time.Millisecond, Answered)
+		g.Finish(now, uint64(i), 100*time.Millisecond, Responded)
 	}
 	// The target finishes ten requests a second, so with an empty queue the next
 	// slot is free in 100 ms.
@@ -239,6 +239,6 @@
 	for i := uint64(0); b.Loop(); i++ {
 		now = now.Add(time.Millisecond)
 		g.Offer(now, Ticket{ID: i, Priority: PriorityOf(1, i), Deadline: now.Add(time.Second)})
-		g.Finish(now, i, time.Millisecond, Answered)
+		g.Finish(now, i, time.Millisecond, Responded)
 	}
 }
--- a/wharf/wharfadmission/gradient.go
+++ b/wharf/wharfadmission/gradient.go
@@ -43,7 +43,7 @@
 		return
 	}
 	g.window.add(now, s, &g.longTerm)
-	if s.Result == Answered {
+	if s.Result == Responded {
 		g.longTerm.smooth(s.Rank, s.Latency.Seconds(), gradientLongWeight)
 	}
 	if !g.window.complete(now) {
--- a/wharf/wharfadmission/limiter.go
+++ b/wharf/wharfadmission/limiter.go
@@ -10,8 +10,8 @@
 
 // Results of a dispatch.
 const (
-	// Answered means that the target processed the request and responded.
-	Answered Result = iota
+	// Responded means that the target processed the request and responded.
+	Responded Result = iota
 	// Shed means that the target refused the request because of overload.
 	Shed
 	// Failed means that the target sent no response.
--- a/wharf/wharfadmission/limiter_test.go
+++ b/wharf/wharfadmission/limiter_test.go
@@ -27,7 +27,7 @@
 		latency := time.Duration(float64(f.service) * rounds * (0.9 + 0.2*rng.Float64()))
 		for i := range running {
 			*now = now.Add(latency / time.Duration(running))
-			l.Observe(*now, Sample{Latency: latency, Result: Answered, Saturated: i >= 0})
+			l.Observe(*now, Sample{Latency: latency, Result: Responded, Saturated: i >= 0})
 		}
 		done += running
 	}
@@ -100,7 +100,7 @@
 	now := epoch
 	sample := func(rank int, latency time.Duration) {
 		now = now.Add(2 * time.Millisecond)
-		l.Observe(now, Sample{Rank: rank, Latency: latency, Result: Answered, Saturated: true})
+		l.Observe(now, Sample{Rank: rank, Latency: latency, Result: Responded, Saturated: true})
 	}
 	for i := range 1000 {
 		sample(i%2, 10*time.Millisecond)
--- a/wharf/wharfadmission/queue.go
+++ b/wharf/wharfadmission/queue.go
@@ -36,13 +36,13 @@
 	Adaptive Order = iota
 	// FIFO always runs requests of one class and depth first-in-first-out.
 	FIFO
-	// Objective runs, within a class, the request first whose objective ends first
+	// ObjectiveOrder runs, within a class, the request first whose objective ends first
 	// (earliest due time first). It is for targets with Backpressure, which rejects
 	// client requests and so keeps the queue short.
-	Objective
-	// Arrival ignores class and depth and drops the newest request. It is the
+	ObjectiveOrder
+	// ArrivalOrder ignores class and depth and drops the newest request. It is the
 	// baseline for comparisons with the other orders.
-	Arrival
+	ArrivalOrder
 )
 
 // queue holds the waiting tickets. It is short, so a linear search is enough.
@@ -66,13 +66,13 @@
 
 // before reports whether a runs before b.
 func (r ranking) before(a, b Ticket) bool {
-	if r.order == Arrival {
+	if r.order == ArrivalOrder {
 		return a.Arrived.Before(b.Arrived)
 	}
 	if a.Rank != b.Rank {
 		return a.Rank < b.Rank
 	}
-	if r.order == Objective {
+	if r.order == ObjectiveOrder {
 		return a.due().Before(b.due())
 	}
 	if a.Depth != b.Depth {
@@ -124,9 +124,9 @@
 	return false
 }
 
-// lowestRank returns the rank of the least important request in the queue, which
-// is the largest rank number, or -1 if the queue is empty.
-func (q *queue) lowestRank() int {
+// leastImportantRank returns the rank of the least important request in the queue,
+// which is the largest rank number, or -1 if the queue is empty.
+func (q *queue) leastImportantRank() int {
 	rank := -1
 	for _, t := range q.tickets {
 		rank = max(rank, t.Rank)
--- a/wharf/wharfbudget/budget_test.go
+++ b/wharf/wharfbudget/budget_test.go
@@ -117,13 +117,13 @@
 func TestLedger(t *testing.T) {
 	is := is.New(t)
 	var l Ledger
-	_, ok := l.Take(7)
+	_, ok := l.TakeAttempt(7)
 	is.True(!ok) // an unknown grant creates no attempts
 	l.Open(7, ServedCall{Grant: NewGrant(3)})
-	delegated, ok := l.Take(7)
+	delegated, ok := l.TakeAttempt(7)
 	is.True(ok)
 	is.Equal(delegated, 2)
-	_, ok = l.Take(7)
+	_, ok = l.TakeAttempt(7)
 	is.True(!ok)
 	l.Return(7, delegated, 100)
 	is.Equal(l.Close(7).Grant.Left(), 2) // a peer can return no more than was delegated to it
@@ -135,12 +135,12 @@
 	var l Ledger
 	at := func(ms int) time.Time { return time.Unix(0, 0).Add(time.Duration(ms) * time.Millisecond) }
 	l.Open(1, ServedCall{})
-	l.CallBegins(at(10), 1)
-	l.CallBegins(at(20), 1) // concurrent calls count once
-	l.CallEnds(at(40), 1, DownstreamResult{LevelReduction: 3})
-	l.CallEnds(at(50), 1, DownstreamResult{Refused: true, LevelReduction: 1})
-	l.CallBegins(at(70), 1)
-	l.CallEnds(at(75), 1, DownstreamResult{Retried: true})
+	l.BeginDownstreamCall(at(10), 1)
+	l.BeginDownstreamCall(at(20), 1) // concurrent calls count once
+	l.EndDownstreamCall(at(40), 1, DownstreamResult{LevelReduction: 3})
+	l.EndDownstreamCall(at(50), 1, DownstreamResult{Refused: true, LevelReduction: 1})
+	l.BeginDownstreamCall(at(70), 1)
+	l.EndDownstreamCall(at(75), 1, DownstreamResult{Retried: true})
 	e := l.Close(1)
 	is.Equal(e.DownstreamTime, 45*time.Millisecond)
 	is.True(e.DownstreamRefused && e.Retried)
@@ -169,7 +169,7 @@
 	l.Open(1, ServedCall{Grant: NewGrant(64)})
 	b.ReportAllocs()
 	for b.Loop() {
-		delegated, _ := l.Take(1)
+		delegated, _ := l.TakeAttempt(1)
 		l.Refund(1, delegated)
 	}
 }
--- a/wharf/wharfbudget/ledger.go
+++ b/wharf/wharfbudget/ledger.go
@@ -73,9 +73,9 @@
 	return e, ok
 }
 
-// Take takes one attempt from a grant and returns the number of attempts that it
+// TakeAttempt takes one attempt from a grant and returns the number of attempts that it
 // delegates. ok is false if the grant is unknown or has no attempts left.
-func (l *Ledger) Take(id GrantID) (delegated int, ok bool) {
+func (l *Ledger) TakeAttempt(id GrantID) (delegated int, ok bool) {
 	s := l.shard(id)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -109,8 +109,8 @@
 	LevelReduction uint16
 }
 
-// CallBegins records the start of a downstream call.
-func (l *Ledger) CallBegins(now time.Time, id GrantID) {
+// BeginDownstreamCall records the start of a downstream call.
+func (l *Ledger) BeginDownstreamCall(now time.Time, id GrantID) {
 	l.update(id, func(e *ServedCall) {
 		if e.downstreamCalls == 0 {
 			e.downstreamSince = now
@@ -119,8 +119,8 @@
 	})
 }
 
-// CallEnds records the end and the result of a downstream call.
-func (l *Ledger) CallEnds(now time.Time, id GrantID, r DownstreamResult) {
+// EndDownstreamCall records the end and the result of a downstream call.
+func (l *Ledger) EndDownstreamCall(now time.Time, id GrantID, r DownstreamResult) {
 	l.update(id, func(e *ServedCall) {
 		e.downstreamCalls--
 		if e.downstreamCalls == 0 {
--- a/wharf/wharfbudget/retry.go
+++ b/wharf/wharfbudget/retry.go
@@ -24,7 +24,7 @@
 // finalReasons lists the reasons of refusals that every target would repeat.
 var finalReasons = []wharfoutcome.Reason{
 	wharfoutcome.ReasonDeadline,
-	wharfoutcome.ReasonOverloadBelow,
+	wharfoutcome.ReasonDownstreamOverload,
 	wharfoutcome.ReasonQuarantined,
 	wharfoutcome.ReasonKeyMismatch,
 	wharfoutcome.ReasonKeyTableFull,
--- a/wharf/wharfbudget/retry_test.go
+++ b/wharf/wharfbudget/retry_test.go
@@ -11,7 +11,7 @@
 
 func TestMayRetry(t *testing.T) {
 	refused := wharfoutcome.Refuse(wharfoutcome.ReasonOverload)
-	lost := wharfoutcome.Uncertain(wharfoutcome.ReasonAnswerLost)
+	lost := wharfoutcome.Uncertain(wharfoutcome.ReasonResponseLost)
 	tests := []struct {
 		name    string
 		failure Failure
--- a/wharf/wharfcli/cli.go
+++ b/wharf/wharfcli/cli.go
@@ -129,9 +129,9 @@
 	*list = append(*list, "--"+flag+": "+fmt.Sprintf(format, args...))
 }
 
-// Finish runs the parsed command, prints its error to Stderr and returns the
+// RunCommand runs the parsed command, prints its error to Stderr and returns the
 // exit code.
-func (p Program) Finish(kctx *kong.Context) int {
+func (p Program) RunCommand(kctx *kong.Context) int {
 	err := kctx.Run()
 	if err == nil {
 		return ExitOK
--- a/wharf/wharfcli/run.go
+++ b/wharf/wharfcli/run.go
@@ -25,5 +25,5 @@
 	if done {
 		return code
 	}
-	return program.Finish(kctx)
+	return program.RunCommand(kctx)
 }
--- a/wharf/wharfconfig/classify.go
+++ b/wharf/wharfconfig/classify.go
@@ -26,9 +26,9 @@
 	Timeout    time.Duration
 	MaxTimeout time.Duration
 	Attempts   int
-	// Targets limits the number of targets that the request may be sent to;
+	// MaxTargets limits the number of targets that the request may be sent to;
 	// zero means that only Attempts limits it.
-	Targets int
+	MaxTargets int
 	// Objective is the latency objective: a response that takes longer is worth
 	// less to the caller. Zero means that none is known.
 	Objective time.Duration
@@ -87,10 +87,10 @@
 	return s.index().defaults.clockSkew
 }
 
-// HomeStaleness returns how long an owner of idempotency keys may start requests
+// OwnerStaleness returns how long an owner of idempotency keys may start requests
 // with a key after it last confirmed that it had read the whole log.
-func (s *Snapshot) HomeStaleness() time.Duration {
-	return s.index().defaults.homeStaleness
+func (s *Snapshot) OwnerStaleness() time.Duration {
+	return s.index().defaults.ownerStaleness
 }
 
 // Classify returns the policy of a request. Each value comes from the matching
--- a/wharf/wharfconfig/compile.go
+++ b/wharf/wharfconfig/compile.go
@@ -12,13 +12,13 @@
 
 // Default values, used where no document sets another.
 const (
-	DefaultClass         = "default"
-	DefaultTimeout       = 5 * time.Second
-	DefaultMaxTimeout    = time.Minute
-	DefaultResendHorizon = 10 * time.Minute
-	DefaultClockSkew     = 2 * time.Second
-	DefaultHomeStaleness = 15 * time.Minute
-	defaultRank          = MaxRank / 2
+	DefaultClass          = "default"
+	DefaultTimeout        = 5 * time.Second
+	DefaultMaxTimeout     = time.Minute
+	DefaultResendHorizon  = 10 * time.Minute
+	DefaultClockSkew      = 2 * time.Second
+	DefaultOwnerStaleness = 15 * time.Minute
+	defaultRank           = MaxRank / 2
 )
 
 // labelService is the label by which rules are indexed.
@@ -62,13 +62,13 @@
 }
 
 type defaults struct {
-	class         string
-	timeout       time.Duration
-	maxTimeout    time.Duration
-	attempts      int
-	resendHorizon time.Duration
-	clockSkew     time.Duration
-	homeStaleness time.Duration
+	class          string
+	timeout        time.Duration
+	maxTimeout     time.Duration
+	attempts       int
+	resendHorizon  time.Duration
+	clockSkew      time.Duration
+	ownerStaleness time.Duration
 }
 
 // Class is a class of requests of the same importance.
@@ -170,13 +170,13 @@
 
 func compileDefaults(objects map[ObjectKey]Object) defaults {
 	d := defaults{
-		class:         DefaultClass,
-		timeout:       DefaultTimeout,
-		maxTimeout:    DefaultMaxTimeout,
-		attempts:      wharfbudget.DefaultAttempts,
-		resendHorizon: DefaultResendHorizon,
-		clockSkew:     DefaultClockSkew,
-		homeStaleness: DefaultHomeStaleness,
+		class:          DefaultClass,
+		timeout:        DefaultTimeout,
+		maxTimeout:     DefaultMaxTimeout,
+		attempts:       wharfbudget.DefaultAttempts,
+		resendHorizon:  DefaultResendHorizon,
+		clockSkew:      DefaultClockSkew,
+		ownerStaleness: DefaultOwnerStaleness,
 	}
 	o, ok := objects[ObjectKey{KindDefaults, DefaultsName}]
 	if !ok {
@@ -193,7 +193,7 @@
 	override(&d.maxTimeout, doc.MaxTimeout)
 	override(&d.resendHorizon, doc.ResendHorizon)
 	override(&d.clockSkew, doc.ClockSkew)
-	override(&d.homeStaleness, doc.HomeStaleness)
+	override(&d.ownerStaleness, doc.OwnerStaleness)
 	return d
 }
 
--- a/wharf/wharfconfig/config_test.go
+++ b/wharf/wharfconfig/config_test.go
@@ -195,7 +195,7 @@
 			to := rapid.IntRange(from+1, n).Draw(t, "to")
 			s = s.WithChanges(log[from:to])
 			if rapid.Bool().Draw(t, "restart") {
-				s = Load(s.Save())
+				s = Restore(s.Save())
 			}
 			if s.Offset() < before {
 				t.Fatalf("offset decreased from %d to %d", before, s.Offset())
--- a/wharf/wharfconfig/document.go
+++ b/wharf/wharfconfig/document.go
@@ -67,10 +67,10 @@
 	Leaving    *bool     `json:"leaving,omitempty" yaml:"leaving"`
 	Target     string    `json:"target,omitempty" yaml:"target"`
 
-	MaxTimeout    *Duration `json:"max-timeout,omitempty" yaml:"max-timeout"`
-	ResendHorizon *Duration `json:"resend-horizon,omitempty" yaml:"resend-horizon"`
-	ClockSkew     *Duration `json:"clock-skew,omitempty" yaml:"clock-skew"`
-	HomeStaleness *Duration `json:"home-staleness,omitempty" yaml:"home-staleness"`
+	MaxTimeout     *Duration `json:"max-timeout,omitempty" yaml:"max-timeout"`
+	ResendHorizon  *Duration `json:"resend-horizon,omitempty" yaml:"resend-horizon"`
+	ClockSkew      *Duration `json:"clock-skew,omitempty" yaml:"clock-skew"`
+	OwnerStaleness *Duration `json:"home-staleness,omitempty" yaml:"home-staleness"` // the key keeps its earlier name
 }
 
 // Key returns the key of the object.
--- a/wharf/wharfconfig/snapshot.go
+++ b/wharf/wharfconfig/snapshot.go
@@ -227,8 +227,8 @@
 	return Saved{Offset: s.Offset(), Objects: s.Objects(), Decisions: s.Decisions()}
 }
 
-// Load rebuilds a snapshot from its serialized form.
-func Load(saved Saved) *Snapshot {
+// Restore rebuilds a snapshot from its serialized form.
+func Restore(saved Saved) *Snapshot {
 	s := (*Snapshot)(nil).clone()
 	s.offset = saved.Offset
 	for _, o := range saved.Objects {
--- a/wharf/wharfconfig/validate.go
+++ b/wharf/wharfconfig/validate.go
@@ -169,7 +169,7 @@
 	v.checkDuration(doc, "max-timeout", doc.MaxTimeout, time.Millisecond, maxTimeout)
 	v.checkDuration(doc, "resend-horizon", doc.ResendHorizon, time.Second, maxHorizon)
 	v.checkDuration(doc, "clock-skew", doc.ClockSkew, 0, maxClockSkew)
-	v.checkDuration(doc, "home-staleness", doc.HomeStaleness, 5*time.Second, maxHorizon)
+	v.checkDuration(doc, "home-staleness", doc.OwnerStaleness, 5*time.Second, maxHorizon)
 	if doc.Timeout != nil && doc.MaxTimeout != nil && *doc.Timeout > *doc.MaxTimeout {
 		v.report(doc, "timeout", CodeContradiction, "raise max-timeout or lower timeout", "timeout is longer than max-timeout")
 	}
--- a/wharf/wharfidempotency/deduplicator.go
+++ b/wharf/wharfidempotency/deduplicator.go
@@ -25,18 +25,18 @@
 // of the log is stale.
 func (d Deduplicator) Decide(now time.Time, v OwnershipView, id KeyID, fingerprint uint64, window DedupWindow) Plan {
 	if v.stale(now, window) {
-		return Plan{Decision: d.lookup(id, fingerprint, wharfoutcome.ReasonHomeCatchingUp)}
+		return Plan{Decision: d.lookup(id, fingerprint, wharfoutcome.ReasonOwnerCatchingUp)}
 	}
 	r, ok := v.Table.Resolve(now, id.Service, id.Key, window)
 	if !ok || !r.Owner.Same(d.Self) {
-		return Plan{Decision: d.lookup(id, fingerprint, wharfoutcome.ReasonHomeMoved)}
+		return Plan{Decision: d.lookup(id, fingerprint, wharfoutcome.ReasonOwnerMoved)}
 	}
 	decision := d.Keys.Begin(now, id, fingerprint, r.Since)
 	if decision.Action != Proceed {
 		return Plan{Decision: decision}
 	}
-	if r.RecordsLost {
-		return Plan{Decision: d.abort(id, wharfoutcome.ReasonHomeMoved)}
+	if r.EntriesLost {
+		return Plan{Decision: d.abort(id, wharfoutcome.ReasonOwnerMoved)}
 	}
 	return Plan{Decision: decision, PreviousOwners: r.PreviousOwners}
 }
@@ -44,7 +44,7 @@
 // DecideStale decides on a request whose sender has read more of the log than
 // this node.
 func (d Deduplicator) DecideStale(id KeyID, fingerprint uint64) Plan {
-	return Plan{Decision: d.lookup(id, fingerprint, wharfoutcome.ReasonHomeCatchingUp)}
+	return Plan{Decision: d.lookup(id, fingerprint, wharfoutcome.ReasonOwnerCatchingUp)}
 }
 
 // lookup decides on a request for a key that this node may not run. If the key
@@ -57,11 +57,11 @@
 	return refusal(wharfoutcome.Refuse(reason))
 }
 
-// PreviousUnreachable ends a request whose key a previous owner could not close.
+// AbortUnreachable ends a request whose key a previous owner could not close.
 // The request did not run on this node, but an earlier send of it may have run on
 // the previous owner.
-func (d Deduplicator) PreviousUnreachable(id KeyID) Decision {
-	return d.abort(id, wharfoutcome.ReasonHomeUnreachable)
+func (d Deduplicator) AbortUnreachable(id KeyID) Decision {
+	return d.abort(id, wharfoutcome.ReasonOwnerUnreachable)
 }
 
 // abort removes a waiting key and reports that the request may have run on a
--- a/wharf/wharfidempotency/interleaving_test.go
+++ b/wharf/wharfidempotency/interleaving_test.go
@@ -145,7 +145,7 @@
 			return n.deduplicator.Keys.MergePrevious(s.now, s.key, other.deduplicator.Keys.Close(s.now, s.key, uint64(max(n.applied, other.applied))))
 		}
 	}
-	return n.deduplicator.PreviousUnreachable(s.key)
+	return n.deduplicator.AbortUnreachable(s.key)
 }
 
 func (s *simulation) dispatch(i int) {
--- a/wharf/wharfidempotency/keys.go
+++ b/wharf/wharfidempotency/keys.go
@@ -153,12 +153,12 @@
 		return Decision{Action: Replay, Response: e.Response}
 	case e.State == Done:
 		o := wharfoutcome.Done()
-		o.Reason = wharfoutcome.ReasonAnswerNotKept
+		o.Reason = wharfoutcome.ReasonResponseNotStored
 		return refusal(o)
 	case e.State == Closed:
 		return refusal(wharfoutcome.Refuse(wharfoutcome.ReasonKeyClosed))
 	default:
-		return refusal(wharfoutcome.Uncertain(wharfoutcome.ReasonAnswerLost))
+		return refusal(wharfoutcome.Uncertain(wharfoutcome.ReasonResponseLost))
 	}
 }
 
@@ -256,7 +256,7 @@
 		// The request is running on the previous owner, or its result is lost.
 		// The next resend asks the previous owner again, so no entry is needed.
 		s.drop(id)
-		return refusal(wharfoutcome.Uncertain(wharfoutcome.ReasonHomeMoved))
+		return refusal(wharfoutcome.Uncertain(wharfoutcome.ReasonOwnerMoved))
 	}
 	mismatch := s.entries[id].Fingerprint != previous.Fingerprint
 	previous.Changed = now
--- a/wharf/wharfidempotency/keys_test.go
+++ b/wharf/wharfidempotency/keys_test.go
@@ -37,13 +37,13 @@
 			k.Begin(startTime, id, 1, 0)
 			k.Dispatch(startTime, id)
 			k.Finish(startTime, id, &Response{Body: make([]byte, MaxStoredBody+1), Complete: true})
-		}, 1, Refuse, wharfoutcome.Outcome{Kind: wharfoutcome.Completed, Reason: wharfoutcome.ReasonAnswerNotKept}},
+		}, 1, Refuse, wharfoutcome.Outcome{Kind: wharfoutcome.Completed, Reason: wharfoutcome.ReasonResponseNotStored}},
 		{"other fingerprint", func(k *KeyStore) { k.Begin(startTime, id, 1, 0) }, 2, Refuse, wharfoutcome.Refuse(wharfoutcome.ReasonKeyMismatch)},
 		{"response lost", func(k *KeyStore) {
 			k.Begin(startTime, id, 1, 0)
 			k.Dispatch(startTime, id)
 			k.MarkLost(startTime, id)
-		}, 1, Refuse, wharfoutcome.Uncertain(wharfoutcome.ReasonAnswerLost)},
+		}, 1, Refuse, wharfoutcome.Uncertain(wharfoutcome.ReasonResponseLost)},
 		{"closed before the first send", func(k *KeyStore) { k.Close(startTime, id, 5) }, 1, Refuse, wharfoutcome.Refuse(wharfoutcome.ReasonKeyClosed)},
 		{"owned again after it was closed", func(k *KeyStore) {
 			k.Close(startTime, id, 5)
@@ -89,11 +89,11 @@
 	}{
 		{"stale view", func(d Deduplicator, fingerprint uint64) Plan {
 			return d.Decide(startTime, OwnershipView{}, id, fingerprint, DedupWindow{Staleness: time.Second})
-		}, wharfoutcome.ReasonHomeCatchingUp},
+		}, wharfoutcome.ReasonOwnerCatchingUp},
 		{"other owner", func(d Deduplicator, fingerprint uint64) Plan {
 			return d.Decide(startTime, OwnershipView{Table: &OwnershipTable{}, ConfirmedAt: startTime}, id, fingerprint, DedupWindow{Staleness: time.Second})
-		}, wharfoutcome.ReasonHomeMoved},
-		{"sender has read more of the log", func(d Deduplicator, fingerprint uint64) Plan { return d.DecideStale(id, fingerprint) }, wharfoutcome.ReasonHomeCatchingUp},
+		}, wharfoutcome.ReasonOwnerMoved},
+		{"sender has read more of the log", func(d Deduplicator, fingerprint uint64) Plan { return d.DecideStale(id, fingerprint) }, wharfoutcome.ReasonOwnerCatchingUp},
 	}
 	steps := []struct {
 		name   string
--- a/wharf/wharfidempotency/resolve.go
+++ b/wharf/wharfidempotency/resolve.go
@@ -41,9 +41,9 @@
 	Since uint64
 	// PreviousOwners lists the previous owners that must close the key.
 	PreviousOwners []Owner
-	// RecordsLost means that the key may have run on a previous owner that is no
+	// EntriesLost means that the key may have run on a previous owner that is no
 	// longer known or whose entries no longer exist.
-	RecordsLost bool
+	EntriesLost bool
 }
 
 // Resolve returns the owner of a key and the previous owners that may have run
@@ -70,7 +70,7 @@
 		}
 	}
 	if h.truncated && h.epochs[0].Start.Add(window.Staleness).After(earliestSend) {
-		r.RecordsLost = true
+		r.EntriesLost = true
 	}
 	return r, true
 }
@@ -117,7 +117,7 @@
 	case !replaced:
 		r.PreviousOwners = append(r.PreviousOwners, previous)
 	case endedAt.After(earliestSend):
-		r.RecordsLost = true
+		r.EntriesLost = true
 	}
 }
 
--- a/wharf/wharfidempotency/table.go
+++ b/wharf/wharfidempotency/table.go
@@ -298,8 +298,8 @@
 	return saved
 }
 
-// Load rebuilds a table from its stored form.
-func Load(saved Saved) *OwnershipTable {
+// Restore rebuilds a table from its stored form.
+func Restore(saved Saved) *OwnershipTable {
 	t := (*OwnershipTable)(nil).WithRecords(nil)
 	for _, s := range saved.Services {
 		t.services[s.Service] = history{s.Epochs, s.Truncated}
--- a/wharf/wharfidempotency/table_test.go
+++ b/wharf/wharfidempotency/table_test.go
@@ -78,13 +78,13 @@
 		t.Run(tc.name, func(t *testing.T) {
 			is := is.New(t)
 			records := logRecords(tc.records...)
-			table := Load((*OwnershipTable)(nil).WithRecords(records).Save())
+			table := Restore((*OwnershipTable)(nil).WithRecords(records).Save())
 			now := records[len(records)-1].Time.Add(tc.after)
 			r, ok := table.Resolve(now, service, tc.key, window)
 			is.True(ok)
 			is.Equal(r.Owner.Node, tc.owner)
 			is.Equal(len(r.PreviousOwners), tc.previousOwners)
-			is.Equal(r.RecordsLost, tc.recordsLost)
+			is.Equal(r.EntriesLost, tc.recordsLost)
 		})
 	}
 }
@@ -107,7 +107,7 @@
 	} {
 		r, ok := table.Resolve(restart.Add(time.Minute), service, uuidAt(restart.Add(tc.after)), window)
 		is.True(ok)
-		is.Equal(r.RecordsLost, tc.recordsLost)
+		is.Equal(r.EntriesLost, tc.recordsLost)
 	}
 }
 
@@ -138,7 +138,7 @@
 	is.NoErr(err)
 	var saved Saved
 	is.NoErr(json.Unmarshal(data, &saved))
-	again, err := json.Marshal(Load(saved).Save())
+	again, err := json.Marshal(Restore(saved).Save())
 	is.NoErr(err)
 	is.Equal(string(again), string(data))
 }
--- a/wharf/wharfmember/incarnations.go
+++ b/wharf/wharfmember/incarnations.go
@@ -1,8 +1,8 @@
 package wharfmember
 
-// TargetIncarnation identifies one announcement of a target: the incarnation that
+// TargetAnnouncement identifies one announcement of a target: the incarnation that
 // sent it and its place in the sequence of announcements of this incarnation.
-type TargetIncarnation struct {
+type TargetAnnouncement struct {
 	// Instance identifies the target. A target may restart with the same
 	// instance.
 	Instance string
@@ -15,7 +15,7 @@
 
 // startedAfter reports whether the incarnation started after another one of the
 // same instance.
-func (i TargetIncarnation) startedAfter(other TargetIncarnation) bool {
+func (i TargetAnnouncement) startedAfter(other TargetAnnouncement) bool {
 	return i.StartedMs > other.StartedMs
 }
 
@@ -28,20 +28,20 @@
 // earlier target may arrive after the next target has started to use the address.
 // It isn't safe for concurrent use. The zero IncarnationTracker has no target.
 type IncarnationTracker struct {
-	current TargetIncarnation
+	current TargetAnnouncement
 	known   bool
-	ended   []TargetIncarnation
+	ended   []TargetAnnouncement
 }
 
 // Current returns the incarnation that uses the address. It returns false if
 // there is none.
-func (t *IncarnationTracker) Current() (TargetIncarnation, bool) {
+func (t *IncarnationTracker) Current() (TargetAnnouncement, bool) {
 	return t.current, t.known
 }
 
 // Observe records an announcement. It reports whether the announcement is a new
 // one from the target that uses the address now.
-func (t *IncarnationTracker) Observe(a TargetIncarnation) bool {
+func (t *IncarnationTracker) Observe(a TargetAnnouncement) bool {
 	if t.hasEnded(a) {
 		return false
 	}
@@ -62,7 +62,7 @@
 
 // End records that a target announced its end. It returns false if that target
 // doesn't use the address.
-func (t *IncarnationTracker) End(a TargetIncarnation) bool {
+func (t *IncarnationTracker) End(a TargetAnnouncement) bool {
 	if !t.known || a.Instance != t.current.Instance || a.StartedMs != 0 && a.StartedMs < t.current.StartedMs {
 		return false
 	}
@@ -71,7 +71,7 @@
 	return true
 }
 
-func (t *IncarnationTracker) end(incarnation TargetIncarnation) {
+func (t *IncarnationTracker) end(incarnation TargetAnnouncement) {
 	t.ended = append(t.ended, incarnation)
 	if extra := len(t.ended) - maxEndedIncarnations; extra > 0 {
 		t.ended = t.ended[extra:]
@@ -80,7 +80,7 @@
 
 // hasEnded reports whether an announcement comes from an incarnation that has
 // ended.
-func (t *IncarnationTracker) hasEnded(a TargetIncarnation) bool {
+func (t *IncarnationTracker) hasEnded(a TargetAnnouncement) bool {
 	for _, e := range t.ended {
 		if e.Instance == a.Instance && !a.startedAfter(e) {
 			return true
--- a/wharf/wharfmember/incarnations_test.go
+++ b/wharf/wharfmember/incarnations_test.go
@@ -11,7 +11,7 @@
 // and restarts can cause.
 func TestAnnouncementOrder(t *testing.T) {
 	type step struct {
-		announcement TargetIncarnation
+		announcement TargetAnnouncement
 		isEnd        bool
 		want         bool
 	}
@@ -20,18 +20,18 @@
 		steps    []step
 		instance string
 	}{
-		{"renewed", []step{{TargetIncarnation{"a", 5, 1}, false, true}, {TargetIncarnation{"a", 5, 2}, false, true}}, "a"},
-		{"delayed announcement of the same incarnation", []step{{TargetIncarnation{"a", 5, 2}, false, true}, {TargetIncarnation{"a", 5, 1}, false, false}}, "a"},
-		{"next target", []step{{TargetIncarnation{"a", 5, 9}, false, true}, {TargetIncarnation{"b", 6, 1}, false, true}}, "b"},
-		{"delayed announcement of an earlier target", []step{{TargetIncarnation{"a", 5, 9}, false, true}, {TargetIncarnation{"b", 6, 1}, false, true}, {TargetIncarnation{"a", 5, 10}, false, false}}, "b"},
-		{"delayed announcement of an unknown earlier target", []step{{TargetIncarnation{"b", 6, 1}, false, true}, {TargetIncarnation{"a", 5, 10}, false, false}}, "b"},
-		{"restarted with the same instance", []step{{TargetIncarnation{"a", 5, 9}, false, true}, {TargetIncarnation{"a", 7, 1}, false, true}}, "a"},
-		{"delayed announcement of the incarnation before a restart", []step{{TargetIncarnation{"a", 7, 1}, false, true}, {TargetIncarnation{"a", 5, 9}, false, false}}, "a"},
-		{"ended", []step{{TargetIncarnation{"a", 5, 1}, false, true}, {TargetIncarnation{"a", 0, 0}, true, true}, {TargetIncarnation{"a", 5, 2}, false, false}}, ""},
-		{"ended and restarted", []step{{TargetIncarnation{"a", 5, 1}, false, true}, {TargetIncarnation{"a", 5, 0}, true, true}, {TargetIncarnation{"a", 8, 1}, false, true}}, "a"},
-		{"end of an earlier target", []step{{TargetIncarnation{"a", 5, 1}, false, true}, {TargetIncarnation{"b", 6, 1}, false, true}, {TargetIncarnation{"a", 5, 0}, true, false}}, "b"},
-		{"delayed end of an earlier incarnation", []step{{TargetIncarnation{"a", 7, 1}, false, true}, {TargetIncarnation{"a", 5, 0}, true, false}}, "a"},
-		{"without start times", []step{{TargetIncarnation{"a", 0, 1}, false, true}, {TargetIncarnation{"b", 0, 1}, false, true}, {TargetIncarnation{"a", 0, 2}, false, false}}, "b"},
+		{"renewed", []step{{TargetAnnouncement{"a", 5, 1}, false, true}, {TargetAnnouncement{"a", 5, 2}, false, true}}, "a"},
+		{"delayed announcement of the same incarnation", []step{{TargetAnnouncement{"a", 5, 2}, false, true}, {TargetAnnouncement{"a", 5, 1}, false, false}}, "a"},
+		{"next target", []step{{TargetAnnouncement{"a", 5, 9}, false, true}, {TargetAnnouncement{"b", 6, 1}, false, true}}, "b"},
+		{"delayed announcement of an earlier target", []step{{TargetAnnouncement{"a", 5, 9}, false, true}, {TargetAnnouncement{"b", 6, 1}, false, true}, {TargetAnnouncement{"a", 5, 10}, false, false}}, "b"},
+		{"delayed announcement of an unknown earlier target", []step{{TargetAnnouncement{"b", 6, 1}, false, true}, {TargetAnnouncement{"a", 5, 10}, false, false}}, "b"},
+		{"restarted with the same instance", []step{{TargetAnnouncement{"a", 5, 9}, false, true}, {TargetAnnouncement{"a", 7, 1}, false, true}}, "a"},
+		{"delayed announcement of the incarnation before a restart", []step{{TargetAnnouncement{"a", 7, 1}, false, true}, {TargetAnnouncement{"a", 5, 9}, false, false}}, "a"},
+		{"ended", []step{{TargetAnnouncement{"a", 5, 1}, false, true}, {TargetAnnouncement{"a", 0, 0}, true, true}, {TargetAnnouncement{"a", 5, 2}, false, false}}, ""},
+		{"ended and restarted", []step{{TargetAnnouncement{"a", 5, 1}, false, true}, {TargetAnnouncement{"a", 5, 0}, true, true}, {TargetAnnouncement{"a", 8, 1}, false, true}}, "a"},
+		{"end of an earlier target", []step{{TargetAnnouncement{"a", 5, 1}, false, true}, {TargetAnnouncement{"b", 6, 1}, false, true}, {TargetAnnouncement{"a", 5, 0}, true, false}}, "b"},
+		{"delayed end of an earlier incarnation", []step{{TargetAnnouncement{"a", 7, 1}, false, true}, {TargetAnnouncement{"a", 5, 0}, true, false}}, "a"},
+		{"without start times", []step{{TargetAnnouncement{"a", 0, 1}, false, true}, {TargetAnnouncement{"b", 0, 1}, false, true}, {TargetAnnouncement{"a", 0, 2}, false, false}}, "b"},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
--- a/wharf/wharfmember/member.go
+++ b/wharf/wharfmember/member.go
@@ -93,8 +93,8 @@
 	return m
 }
 
-// TakesWork reports whether new requests may be sent to the node.
-func (m Member) TakesWork() bool {
+// AcceptsRequests reports whether new requests may be sent to the node.
+func (m Member) AcceptsRequests() bool {
 	return m.State == Alive
 }
 
--- a/wharf/wharfmember/member_test.go
+++ b/wharf/wharfmember/member_test.go
@@ -64,7 +64,7 @@
 	is.True(table.Merge(m))
 	is.Equal(len(table.Serving("s0")), 1)
 	is.Equal(len(table.Services()), 5)
-	table.Forget("n00005")
+	table.Remove("n00005")
 	is.Equal(len(table.Serving("s0")), 0)
 }
 
--- a/wharf/wharfmember/table.go
+++ b/wharf/wharfmember/table.go
@@ -87,8 +87,8 @@
 	return true
 }
 
-// Forget deletes an entry, so that ended nodes don't stay in the table forever.
-func (t *Table) Forget(node string) {
+// Remove deletes an entry, so that ended nodes don't stay in the table forever.
+func (t *Table) Remove(node string) {
 	old, known := t.members[node]
 	if !known {
 		return
--- a/wharf/wharfoutcome/outcome.go
+++ b/wharf/wharfoutcome/outcome.go
@@ -36,15 +36,16 @@
 // Reason is the kebab-case cause of an outcome.
 type Reason string
 
-// Reasons, as they appear in the wharf-reason header.
+// Reasons, as they appear in the wharf-reason header. The values stay as they are
+// for existing clients, also where a value is older than the name of its constant.
 const (
 	ReasonNone     Reason = ""
 	ReasonOverload Reason = "overload"
 	// The deadline has passed, or the target can't respond before it.
 	ReasonDeadline Reason = "deadline"
-	// ReasonOverloadBelow refuses a client request because a downstream service of
+	// ReasonDownstreamOverload refuses a client request because a downstream service of
 	// the target is overloaded.
-	ReasonOverloadBelow Reason = "overload-below"
+	ReasonDownstreamOverload Reason = "overload-below"
 	// The target or its node is leaving and accepts no new requests.
 	ReasonLeaving Reason = "leaving"
 	// The request was in flight during several crashes, so no target may run it.
@@ -60,11 +61,11 @@
 	// node that may run requests with the key (see wharfidempotency).
 
 	// The key has no owner, or a previous owner could not be asked about it.
-	ReasonHomeUnreachable Reason = "home-unreachable"
+	ReasonOwnerUnreachable Reason = "home-unreachable"
 	// The node doesn't own the key, or a previous owner may have run it.
-	ReasonHomeMoved Reason = "home-moved"
+	ReasonOwnerMoved Reason = "home-moved"
 	// The node has not read enough of the log to know whether it owns the key.
-	ReasonHomeCatchingUp Reason = "home-catching-up"
+	ReasonOwnerCatchingUp Reason = "home-catching-up"
 	// The key was closed on the node, so the node must not run it.
 	ReasonKeyClosed Reason = "key-closed"
 	// The key was already used for a different request.
@@ -72,7 +73,7 @@
 	// The owner has no space for another key.
 	ReasonKeyTableFull Reason = "key-table-full"
 	// The request has completed, but its response was not stored.
-	ReasonAnswerNotKept Reason = "answer-not-kept"
+	ReasonResponseNotStored Reason = "answer-not-kept"
 
 	// No target of the service is available for an attempt.
 	ReasonNoTarget       Reason = "no-target"
@@ -97,12 +98,12 @@
 	// The connection to the target was lost, which counts as a crash of the target.
 	ReasonTargetCrashed Reason = "target-crashed"
 	// The target sends no responses and accepts no new connections.
-	ReasonTargetSilent Reason = "target-silent"
+	ReasonTargetUnresponsive Reason = "target-silent"
 	// The request was sent and no response arrived, but the target has not crashed
 	// as far as is known.
-	ReasonAnswerLost Reason = "answer-lost"
+	ReasonResponseLost Reason = "answer-lost"
 	// The response was truncated.
-	ReasonAnswerIncomplete Reason = "answer-incomplete"
+	ReasonResponseIncomplete Reason = "answer-incomplete"
 	// The sender disconnected or cancelled the request.
 	ReasonCancelled Reason = "cancelled"
 )
@@ -160,7 +161,7 @@
 func (o Outcome) HTTPStatus() int {
 	switch o.Kind {
 	case Completed:
-		if o.Reason == ReasonAnswerNotKept {
+		if o.Reason == ReasonResponseNotStored {
 			// The request took effect, but its response was not stored.
 			return http.StatusConflict
 		}
--- a/wharf/wharfoutcome/outcome_test.go
+++ b/wharf/wharfoutcome/outcome_test.go
@@ -19,7 +19,7 @@
 		{"unknown service", Refuse(ReasonUnknownService), 404},
 		{"key mismatch", Refuse(ReasonKeyMismatch), 422},
 		{"malformed context", Refuse(ReasonMalformedContext), 400},
-		{"response lost", Uncertain(ReasonAnswerLost), 504},
+		{"response lost", Uncertain(ReasonResponseLost), 504},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
--- a/wharf/wharfquarantine/safeset.go
+++ b/wharf/wharfquarantine/safeset.go
@@ -2,13 +2,13 @@
 
 import "sync"
 
-// maxSafe bounds the number of fingerprints in a SafeSet.
+// maxSafe bounds the number of fingerprints in a KnownSafeSet.
 const maxSafe = 32_768
 
-// SafeSet holds the fingerprints of requests that completed without a crash. It is
+// KnownSafeSet holds the fingerprints of requests that completed without a crash. It is
 // bounded: fingerprints that were not added again for long are dropped. The zero
-// SafeSet is empty and ready to use. It is safe for concurrent use.
-type SafeSet struct {
+// KnownSafeSet is empty and ready to use. It is safe for concurrent use.
+type KnownSafeSet struct {
 	shards [listShards]safeShard
 }
 
@@ -19,12 +19,12 @@
 	young, old map[Fingerprint]struct{}
 }
 
-func (set *SafeSet) shard(fp Fingerprint) *safeShard {
+func (set *KnownSafeSet) shard(fp Fingerprint) *safeShard {
 	return &set.shards[uint64(fp)%listShards]
 }
 
 // Add adds a fingerprint.
-func (set *SafeSet) Add(fp Fingerprint) {
+func (set *KnownSafeSet) Add(fp Fingerprint) {
 	s := set.shard(fp)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -38,7 +38,7 @@
 }
 
 // Remove removes a fingerprint, if it is in the set.
-func (set *SafeSet) Remove(fp Fingerprint) {
+func (set *KnownSafeSet) Remove(fp Fingerprint) {
 	s := set.shard(fp)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -47,7 +47,7 @@
 }
 
 // Has reports whether a fingerprint is in the set.
-func (set *SafeSet) Has(fp Fingerprint) bool {
+func (set *KnownSafeSet) Has(fp Fingerprint) bool {
 	s := set.shard(fp)
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/wharf/wharfquarantine/safeset_test.go
+++ b/wharf/wharfquarantine/safeset_test.go
@@ -10,7 +10,7 @@
 // that is added again and again.
 func TestSafeSetIsBounded(t *testing.T) {
 	is := is.New(t)
-	var set SafeSet
+	var set KnownSafeSet
 	is.True(!set.Has(7))
 	for i := range Fingerprint(5 * maxSafe) {
 		set.Add(7)
@@ -29,7 +29,7 @@
 }
 
 func BenchmarkSafeSet(b *testing.B) {
-	var set SafeSet
+	var set KnownSafeSet
 	b.ReportAllocs()
 	for b.Loop() {
 		set.Add(7)
--- a/wharf/wharfroute/route.go
+++ b/wharf/wharfroute/route.go
@@ -27,9 +27,9 @@
 	// Objective is the latency objective: a response that takes longer is worth
 	// less to the caller.
 	Objective time.Duration `json:"objective"`
-	// Targets is the maximum number of targets that one request may reach. Zero
+	// MaxTargets is the maximum number of targets that one request may reach. Zero
 	// means no limit.
-	Targets int `json:"targets"`
+	MaxTargets int `json:"targets"` // stored under its earlier name
 }
 
 // TotalWeight returns the sum of the weights.
--- a/wharf/wharfrouting/balancer.go
+++ b/wharf/wharfrouting/balancer.go
@@ -78,8 +78,8 @@
 	b.states = states
 }
 
-// Len returns the number of targets that are not leaving.
-func (b *Balancer) Len() int {
+// ActiveTargets returns the number of targets that are not leaving.
+func (b *Balancer) ActiveTargets() int {
 	n := 0
 	for _, s := range b.states {
 		if !s.Leaving {
@@ -117,7 +117,7 @@
 		return Target{}, wharfoutcome.ReasonOverload
 	}
 	if len(r.Tried) > 0 {
-		candidates = b.preferRoom(now, candidates, r)
+		candidates = b.preferAccepting(now, candidates, r)
 	}
 	candidates = r.ExposureLimit.filter(candidates, b.states)
 	if len(candidates) == 0 {
@@ -209,7 +209,7 @@
 }
 
 // Observe records the result of an attempt at a target: the latency, used for
-// Answered only, and the load report of the response, nil if there was none.
+// Responded only, and the load report of the response, nil if there was none.
 // It does nothing if the target is no longer in the list.
 func (b *Balancer) Observe(now time.Time, address, route string, result Result, latency time.Duration, report *LoadReport) {
 	s := b.find(address)
@@ -242,11 +242,11 @@
 	return slices.ContainsFunc(b.candidates(now, r), func(s *targetState) bool { return s.hasLowerPriorityQueued(now, r.Rank) })
 }
 
-// preferRoom returns the candidates that are known to queue less important
+// preferAccepting returns the candidates that are known to queue less important
 // requests. If there are none, it returns those that are known to have queue
 // capacity left, and otherwise all. A refused request tries these targets first,
 // before its attempts are spent.
-func (b *Balancer) preferRoom(now time.Time, candidates []*targetState, r Request) []*targetState {
+func (b *Balancer) preferAccepting(now time.Time, candidates []*targetState, r Request) []*targetState {
 	var lower, room []*targetState
 	for _, s := range candidates {
 		switch {
@@ -285,7 +285,7 @@
 			found++
 		}
 	}
-	if found == 0 || found < b.Len() {
+	if found == 0 || found < b.ActiveTargets() {
 		return wharfadmission.LevelOpen
 	}
 	return level
--- a/wharf/wharfrouting/balancer_test.go
+++ b/wharf/wharfrouting/balancer_test.go
@@ -55,12 +55,12 @@
 		{"ejected targets", func(b *Balancer) { b.Observe(epoch, "t0", "", Unreachable, 0, nil) }, Request{}, ""},
 		{"targets of other nodes", func(*Balancer) {}, Request{PinnedNode: "n1"}, ""},
 		{"targets whose admission level rejects the request", func(b *Balancer) {
-			b.Observe(epoch, "t0", "x", Answered, time.Millisecond, &LoadReport{Limit: 10, RouteLevel: 100})
+			b.Observe(epoch, "t0", "x", Responded, time.Millisecond, &LoadReport{Limit: 10, RouteLevel: 100})
 		}, Request{Route: "x", Priority: 101}, ""},
 		{"all targets if both were tried", func(*Balancer) {}, Request{Tried: []string{"t0", "t1"}}, wharfoutcome.ReasonNoTarget},
 		{"all targets if all levels reject the request", func(b *Balancer) {
 			for _, a := range []string{"t0", "t1"} {
-				b.Observe(epoch, a, "x", Answered, time.Millisecond, &LoadReport{Limit: 10, RouteLevel: 100})
+				b.Observe(epoch, a, "x", Responded, time.Millisecond, &LoadReport{Limit: 10, RouteLevel: 100})
 			}
 		}, Request{Route: "x", Priority: 101}, wharfoutcome.ReasonOverload},
 	}
@@ -84,17 +84,17 @@
 func TestLevelsExpire(t *testing.T) {
 	is := is.New(t)
 	b := newTestBalancer(1)
-	b.Observe(epoch, "t0", "x", Answered, time.Millisecond, &LoadReport{Limit: 1, RouteLevel: 5})
+	b.Observe(epoch, "t0", "x", Responded, time.Millisecond, &LoadReport{Limit: 1, RouteLevel: 5})
 	is.Equal(b.Level(epoch, "x"), wharfadmission.Priority(5))
 	is.Equal(b.Level(epoch, "y"), wharfadmission.LevelOpen) // the level applies to its route only
 	_, reason := b.Pick(epoch.Add(reportTTL), newRand(), Request{Route: "x", Priority: 9})
 	is.Equal(reason, wharfoutcome.ReasonNone)
 }
 
-// TestNeverAllEjected makes targets fail at random. Pick must still return a
-// target, even if all of them are ejected. Without panic mode, a fault common to
-// all targets would leave the service without any.
-func TestNeverAllEjected(t *testing.T) {
+// TestPickIgnoresEjectionInPanicMode makes targets fail at random. Pick must still
+// return a target, even if all of them are ejected. Without panic mode, a fault
+// common to all targets would leave the service without any.
+func TestPickIgnoresEjectionInPanicMode(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 8).Draw(t, "targets")
 		b := newTestBalancer(n)
@@ -103,7 +103,7 @@
 		for range rapid.IntRange(1, 60).Draw(t, "events") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 3000).Draw(t, "pause")) * time.Millisecond)
 			address := fmt.Sprint("t", rapid.IntRange(0, n-1).Draw(t, "target"))
-			result := Result(rapid.IntRange(int(Answered), int(Cancelled)).Draw(t, "result"))
+			result := Result(rapid.IntRange(int(Responded), int(Cancelled)).Draw(t, "result"))
 			b.Observe(now, address, "", result, time.Millisecond, nil)
 			if _, reason := b.Pick(now, rng, Request{}); reason != wharfoutcome.ReasonNone {
 				t.Fatalf("no target: %s", reason)
@@ -124,7 +124,7 @@
 		now = now.Add(want)
 		is.Equal(len(b.Ejected(now)), 0)
 	}
-	b.Observe(now, "t0", "", Answered, time.Millisecond, nil)
+	b.Observe(now, "t0", "", Responded, time.Millisecond, nil)
 	b.Observe(now, "t0", "", Unreachable, 0, nil)
 	is.Equal(len(b.Ejected(now.Add(initialEjection))), 0) // the response reset the duration
 }
@@ -146,7 +146,7 @@
 			latency *= 10
 			picks++
 		}
-		b.Observe(now, target.Address, "", Answered, latency, &LoadReport{Limit: 10, RouteLevel: wharfadmission.LevelOpen})
+		b.Observe(now, target.Address, "", Responded, latency, &LoadReport{Limit: 10, RouteLevel: wharfadmission.LevelOpen})
 	}
 	t.Logf("%d of 400 requests went to the target with the false report", picks)
 	is.True(picks < 160)
@@ -160,11 +160,11 @@
 	b := newTestBalancer(2)
 	r := Request{Rank: 0, Tried: []string{"t0"}}
 	is.True(!b.HasLowerPriorityQueued(epoch, r))
-	b.Observe(epoch, "t1", "", Answered, time.Millisecond, &LoadReport{Limit: 10, Running: 10, Queued: 3, LowestRank: 4, RouteLevel: wharfadmission.LevelOpen})
+	b.Observe(epoch, "t1", "", Responded, time.Millisecond, &LoadReport{Limit: 10, Running: 10, Queued: 3, LeastImportantRank: 4, RouteLevel: wharfadmission.LevelOpen})
 	is.True(b.HasLowerPriorityQueued(epoch, r))
 	is.True(!b.HasCapacity(epoch, r))
 	is.True(!b.HasLowerPriorityQueued(epoch, Request{Rank: 4, Tried: []string{"t0"}}))
-	b.Observe(epoch, "t1", "", Answered, time.Millisecond, &LoadReport{Limit: 10, QueueRoom: 1, RouteLevel: wharfadmission.LevelOpen})
+	b.Observe(epoch, "t1", "", Responded, time.Millisecond, &LoadReport{Limit: 10, QueueRoom: 1, RouteLevel: wharfadmission.LevelOpen})
 	is.True(b.HasCapacity(epoch, r))
 }
 
@@ -175,6 +175,6 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		t, _ := balancer.Pick(epoch, rng, Request{Route: "x"})
-		balancer.Observe(epoch, t.Address, "x", Answered, time.Millisecond, report)
+		balancer.Observe(epoch, t.Address, "x", Responded, time.Millisecond, report)
 	}
 }
--- a/wharf/wharfrouting/exposure_test.go
+++ b/wharf/wharfrouting/exposure_test.go
@@ -186,6 +186,6 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		t, _ := balancer.Pick(epoch, rng, Request{Route: "x", ExposureLimit: ExposureLimit{Fingerprint: 7}})
-		balancer.Observe(epoch, t.Address, "x", Answered, 0, nil)
+		balancer.Observe(epoch, t.Address, "x", Responded, 0, nil)
 	}
 }
--- a/wharf/wharfrouting/losses_test.go
+++ b/wharf/wharfrouting/losses_test.go
@@ -26,7 +26,7 @@
 		if reason != wharfoutcome.ReasonNone {
 			t.Fatal(reason)
 		}
-		result := Answered
+		result := Responded
 		if target.Address == address {
 			if i >= requests/2 {
 				picked++
--- a/wharf/wharfrouting/service_test.go
+++ b/wharf/wharfrouting/service_test.go
@@ -130,7 +130,7 @@
 		return nil
 	}
 	delete(s.running[i], oldest)
-	pending, err := s.apply(i, s.gates[i].Finish(s.now, oldest, 20*time.Millisecond, wharfadmission.Answered))
+	pending, err := s.apply(i, s.gates[i].Finish(s.now, oldest, 20*time.Millisecond, wharfadmission.Responded))
 	for _, x := range pending {
 		if err == nil {
 			err = s.send(x)
@@ -168,7 +168,7 @@
 	address := fmt.Sprint("t", i)
 	s.balancer.Observe(s.now, address, serviceRoute, Refused, 0, &LoadReport{
 		Running: l.Running, Queued: l.Queued, Limit: l.Limit, RouteLevel: l.Level,
-		LowestRank: max(l.LowestRank, 0), QueueRoom: l.QueueRoom,
+		LeastImportantRank: max(l.LeastImportantRank, 0), QueueRoom: l.QueueRoom,
 	})
 }
 
--- a/wharf/wharfrouting/target.go
+++ b/wharf/wharfrouting/target.go
@@ -26,9 +26,9 @@
 	Running int
 	Queued  int
 	Limit   int
-	// LowestRank is the rank of the least important queued request, which is the
-	// largest rank number. It is zero if the queue is empty.
-	LowestRank int
+	// LeastImportantRank is the rank of the least important queued request, which
+	// is the largest rank number. It is zero if the queue is empty.
+	LeastImportantRank int
 	// QueueRoom is the number of requests that the queue can still take.
 	QueueRoom int
 	// RouteLevel is the lowest admission level for requests of this route at the
@@ -49,8 +49,8 @@
 
 // Results of an attempt.
 const (
-	// Answered means that the target sent a complete response.
-	Answered Result = iota
+	// Responded means that the target sent a complete response.
+	Responded Result = iota
 	// Refused means that the target's node refused the request and did not run it.
 	Refused
 	// Unreachable means that the target's node could not be reached, or that the
@@ -139,7 +139,7 @@
 // hasLowerPriorityQueued reports whether the target is known to queue a request
 // that is less important than the rank. The target would shed that request first.
 func (s *targetState) hasLowerPriorityQueued(now time.Time, rank int) bool {
-	return s.hasCurrentReport(now) && s.report.LowestRank > rank
+	return s.hasCurrentReport(now) && s.report.LeastImportantRank > rank
 }
 
 // hasQueueRoom reports whether the target is known to have queue capacity left.
@@ -190,7 +190,7 @@
 // observe records the result of one attempt.
 func (s *targetState) observe(now time.Time, result Result, latency time.Duration) {
 	switch result {
-	case Answered:
+	case Responded:
 		s.failures, s.ejections = 0, 0
 		s.lossShare -= lossWeight * s.lossShare
 		s.ejectedUntil = time.Time{}
--- a/wharf/wharfstate/capacity_test.go
+++ b/wharf/wharfstate/capacity_test.go
@@ -56,7 +56,7 @@
 			data, err := s.Save()
 			for b.Loop() {
 				if err == nil {
-					_, err = Load(data)
+					_, err = Restore(data)
 				}
 			}
 			if err != nil {
--- a/wharf/wharfstate/envelope.go
+++ b/wharf/wharfstate/envelope.go
@@ -15,9 +15,9 @@
 	"ragwortwharf.dev/wharf/wharfstream"
 )
 
-// Stream is the stream of the platform's log that holds all records of the
+// StateStream is the stream of the platform's log that holds all records of the
 // state.
-const Stream = "wharf-state"
+const StateStream = "wharf-state"
 
 // AuditStream is the stream to which nodes write the actions that they take.
 const AuditStream = "wharf-audit"
@@ -77,8 +77,8 @@
 // maxSnapshotBytes limits the uncompressed size of a serialized state.
 const maxSnapshotBytes = 256 << 20
 
-// Load rebuilds a state from its serialized form.
-func Load(data []byte) (*State, error) {
+// Restore rebuilds a state from its serialized form.
+func Restore(data []byte) (*State, error) {
 	r, err := gzip.NewReader(bytes.NewReader(data))
 	if err != nil {
 		return nil, oops.Code("snapshot-decode").Wrap(err)
@@ -93,10 +93,10 @@
 	}
 	// The parts that were never set stay nil, because onlyRoutes depends on it.
 	if stored.Config.Offset > 0 {
-		state.config = wharfconfig.Load(stored.Config)
+		state.config = wharfconfig.Restore(stored.Config)
 	}
 	if !stored.Ownership.Empty() {
-		state.ownership = wharfidempotency.Load(stored.Ownership)
+		state.ownership = wharfidempotency.Restore(stored.Ownership)
 	}
 	if stored.Routes != nil {
 		state.routes = wharfroute.NewTable(*stored.Routes)
--- a/wharf/wharfstate/routes_test.go
+++ b/wharf/wharfstate/routes_test.go
@@ -51,7 +51,7 @@
 			is.Equal(s.Routes().Version(), tc.version)
 			data, err := s.Save()
 			is.NoErr(err)
-			loaded, err := Load(data)
+			loaded, err := Restore(data)
 			is.NoErr(err)
 			is.Equal(loaded.Routes().Version(), tc.version)
 		})
--- a/wharf/wharfstate/state.go
+++ b/wharf/wharfstate/state.go
@@ -116,7 +116,7 @@
 		if !ok || e.Snapshot == nil {
 			continue
 		}
-		loaded, err := Load(e.Snapshot)
+		loaded, err := Restore(e.Snapshot)
 		if err == nil && loaded.Offset() > newest.Offset() && loaded.Offset() < r.Offset {
 			newest = loaded
 		}
--- a/wharf/wharfstate/state_test.go
+++ b/wharf/wharfstate/state_test.go
@@ -89,7 +89,7 @@
 func TestBrokenSnapshotIsRefused(t *testing.T) {
 	is := is.New(t)
 	for _, data := range [][]byte{nil, []byte("x"), {0x1f, 0x8b, 8, 0}} {
-		_, err := Load(data)
+		_, err := Restore(data)
 		is.True(err != nil)
 	}
 }
--- a/wharfctl/audit.go
+++ b/wharfctl/audit.go
@@ -30,7 +30,7 @@
 type nodeAction struct {
 	Time    time.Time `json:"time"`
 	Node    string    `json:"node"`
-	Act     string    `json:"act"`
+	Action  string    `json:"act"`
 	Details []struct {
 		Name  string `json:"name"`
 		Value string `json:"value"`
@@ -40,7 +40,7 @@
 // Run prints the audit trail, oldest line first.
 func (c *auditCommand) Run(ctx context.Context, t *terminal) error {
 	return c.do(ctx, func(ctx context.Context, s session) error {
-		records, err := s.publisher.Records(ctx, wharfstate.Stream)
+		records, err := s.publisher.Records(ctx, wharfstate.StateStream)
 		if err != nil {
 			return err
 		}
@@ -98,7 +98,7 @@
 			for _, d := range a.Details {
 				details = append(details, d.Name+"="+d.Value)
 			}
-			out = append(out, auditLine{a.Time, strings.TrimSpace(fmt.Sprintf("%s: %s %s", a.Node, a.Act, strings.Join(details, " ")))})
+			out = append(out, auditLine{a.Time, strings.TrimSpace(fmt.Sprintf("%s: %s %s", a.Node, a.Action, strings.Join(details, " ")))})
 		}
 	}
 	return out
--- a/wharfctl/internal/wharfpublish/publisher.go
+++ b/wharfctl/internal/wharfpublish/publisher.go
@@ -31,7 +31,7 @@
 
 // Publisher appends changes to the log and reads the state from it.
 type Publisher struct {
-	Platform logClient
+	LogClient logClient
 }
 
 // State reads the log to its end and returns the state.
@@ -48,7 +48,7 @@
 	// gets, so each call passes all records read so far.
 	var pending []wharfstream.Record
 	for {
-		batch, err := p.Platform.Read(ctx, wharfstate.Stream, from, readLimit, 0)
+		batch, err := p.LogClient.Read(ctx, wharfstate.StateStream, from, readLimit, 0)
 		if errors.Is(err, wharfstream.ErrExpired) {
 			from = batch.Oldest
 			continue
@@ -131,7 +131,7 @@
 	var lastErr error
 	mayBeAppended := false
 	for ctx.Err() == nil {
-		_, err := p.Platform.Append(ctx, wharfstate.Stream, data)
+		_, err := p.LogClient.Append(ctx, wharfstate.StateStream, data)
 		if err != nil {
 			lastErr = err
 		}
@@ -173,7 +173,7 @@
 	if err != nil {
 		return err
 	}
-	_, err = p.Platform.Append(ctx, wharfstate.Stream, data)
+	_, err = p.LogClient.Append(ctx, wharfstate.StateStream, data)
 	return err
 }
 
@@ -194,7 +194,7 @@
 	var out []wharfstream.Record
 	from := uint64(1)
 	for {
-		batch, err := p.Platform.Read(ctx, stream, from, readLimit, 0)
+		batch, err := p.LogClient.Read(ctx, stream, from, readLimit, 0)
 		if errors.Is(err, wharfstream.ErrExpired) {
 			from = batch.Oldest
 			continue
--- a/wharfctl/node.go
+++ b/wharfctl/node.go
@@ -21,7 +21,7 @@
 // value that into points to.
 func (a nodeAccess) get(ctx context.Context, path string, params map[string]string, into any) error {
 	var issues wharfcli.Issues
-	issues.URL("node", a.Node)
+	issues.CheckURL("node", a.Node)
 	if len(issues) > 0 {
 		return wharfcli.ExitError{Code: wharfcli.ExitUsage, Err: issues}
 	}
--- a/wharfctl/status.go
+++ b/wharfctl/status.go
@@ -21,13 +21,13 @@
 	Offset uint64 `json:"offset"`
 	// StateAge is the age of the last confirmation of the node's state, in
 	// seconds. A negative value means that the state is not confirmed.
-	StateAge float64        `json:"state-age-seconds"`
-	Members  int            `json:"members"`
-	Calls    int            `json:"calls"`
-	Keys     int            `json:"keys"`
-	Ejected  []string       `json:"ejected"`
-	Owned    []string       `json:"owned-services"`
-	Targets  []targetStatus `json:"targets"`
+	StateAge      float64        `json:"state-age-seconds"`
+	Members       int            `json:"members"`
+	Calls         int            `json:"calls"`
+	Keys          int            `json:"keys"`
+	Ejected       []string       `json:"ejected"`
+	OwnedServices []string       `json:"owned-services"`
+	Targets       []targetStatus `json:"targets"`
 }
 
 // targetStatus is the status of one target of the node.
@@ -57,7 +57,7 @@
 	}
 	t.printf("node %s in %s\n", s.Self.Node, s.Self.FailureDomain)
 	t.printf("configuration at offset %d, %s; %d members\n", s.Offset, age, s.Members)
-	t.printf("%d calls in flight, %d keys, key owner for %s\n", s.Calls, s.Keys, orNone(s.Owned))
+	t.printf("%d calls in flight, %d keys, key owner for %s\n", s.Calls, s.Keys, orNone(s.OwnedServices))
 	t.printf("targets ejected: %s\n", orNone(s.Ejected))
 	w := tabwriter.NewWriter(t.out, 0, 0, 2, ' ', 0)
 	_, _ = fmt.Fprintln(w, "SERVICE\tTARGET\tSTATE\tSLOTS\tLIMIT\tRUNNING\tQUEUED\tLEVEL\tCRASHES")
--- a/wharfctl/terminal.go
+++ b/wharfctl/terminal.go
@@ -40,14 +40,14 @@
 // both.
 func (a logAccess) do(ctx context.Context, command func(ctx context.Context, s session) error) error {
 	var issues wharfcli.Issues
-	issues.URL("log-url", a.LogURL)
-	issues.AtLeast("timeout", a.Timeout, time.Second)
+	issues.CheckURL("log-url", a.LogURL)
+	issues.CheckAtLeast("timeout", a.Timeout, time.Second)
 	if len(issues) > 0 {
 		return wharfcli.ExitError{Code: wharfcli.ExitUsage, Err: issues}
 	}
 	ctx, cancel := context.WithTimeout(ctx, a.Timeout)
 	defer cancel()
-	s := session{publisher: wharfpublish.Publisher{Platform: wharflog.NewClient(a.LogURL)}}
+	s := session{publisher: wharfpublish.Publisher{LogClient: wharflog.NewClient(a.LogURL)}}
 	var err error
 	if s.state, err = s.publisher.State(ctx); err != nil {
 		return err
--- a/wharfnode/internal/wharfadmin/api.go
+++ b/wharfnode/internal/wharfadmin/api.go
@@ -29,8 +29,8 @@
 
 // targetRegistrar registers the targets that announce themselves to this node.
 type targetRegistrar interface {
-	Renew(t wharfmember.Target)
-	Leave(address string) bool
+	AnnounceTarget(t wharfmember.Target)
+	SetTargetLeaving(address string) bool
 }
 
 // API holds the HTTP handlers for operators and targets.
@@ -41,7 +41,7 @@
 	Ledger     *wharfbudget.Ledger
 	Keys       *wharfidempotency.KeyStore
 	Quarantine *wharfquarantine.List
-	Targets    targetRegistrar
+	Registrar  targetRegistrar
 	Auditor    auditor
 	Log        wharfevents.Log
 	Metrics    wharfevents.Metrics
@@ -85,11 +85,11 @@
 func (a *API) announce(w http.ResponseWriter, r *http.Request) {
 	t, apiErr := readTarget(w, r)
 	if apiErr != nil {
-		a.Log.Emit(wharfevents.TargetRefused, wharfevents.Field{Name: "fault", Value: apiErr.Message})
+		a.Log.Emit(wharfevents.AnnouncementRefused, wharfevents.Field{Name: "fault", Value: apiErr.Message})
 		reply(w, http.StatusBadRequest, apiErr)
 		return
 	}
-	a.Targets.Renew(t)
+	a.Registrar.AnnounceTarget(t)
 	reply(w, http.StatusOK, t)
 }
 
@@ -121,7 +121,7 @@
 // leave marks a target as leaving. The target gets no new requests from then on.
 func (a *API) leave(w http.ResponseWriter, r *http.Request) {
 	address := r.URL.Query().Get("address")
-	if !a.Targets.Leave(address) {
+	if !a.Registrar.SetTargetLeaving(address) {
 		reply(w, http.StatusNotFound, apiError{"target-unknown", "no target has announced the address " + address})
 		return
 	}
@@ -142,14 +142,14 @@
 	StateAge float64 `json:"state-age-seconds"`
 	Members  int     `json:"members"`
 	// Calls is the number of requests in flight at the proxy of this node.
-	// Served is the number of calls that the targets of this node are serving.
-	Calls    int                  `json:"calls"`
-	Served   int                  `json:"served"`
-	Keys     int                  `json:"keys"`
-	KeyBytes int                  `json:"key-bytes"`
-	Ejected  []string             `json:"ejected"`
-	Owned    []string             `json:"owned-services"`
-	Targets  []wharftarget.Status `json:"targets"`
+	// ServedCalls is the number of calls that the targets of this node are serving.
+	Calls       int                  `json:"calls"`
+	ServedCalls int                  `json:"served"`
+	Keys        int                  `json:"keys"`
+	KeyBytes    int                  `json:"key-bytes"`
+	Ejected     []string             `json:"ejected"`
+	Owned       []string             `json:"owned-services"`
+	Targets     []wharftarget.Status `json:"targets"`
 }
 
 // unconfirmedAge is the reported age of a state that has not been confirmed.
@@ -157,16 +157,16 @@
 
 func (a *API) status(w http.ResponseWriter, _ *http.Request) {
 	s := Status{
-		Self:     a.View.SelfMember(),
-		Offset:   a.View.State().Offset(),
-		StateAge: unconfirmedAge,
-		Calls:    a.Proxy.Calls(),
-		Served:   a.Ledger.Len(),
-		Keys:     a.Keys.Len(),
-		KeyBytes: a.Keys.Bytes(),
-		Ejected:  a.Proxy.Ejected(),
-		Owned:    a.View.State().Ownership().OwnedBy(a.View.Self()),
-		Targets:  a.Registry.Status(),
+		Self:        a.View.SelfMember(),
+		Offset:      a.View.State().Offset(),
+		StateAge:    unconfirmedAge,
+		Calls:       a.Proxy.InFlight(),
+		ServedCalls: a.Ledger.Len(),
+		Keys:        a.Keys.Len(),
+		KeyBytes:    a.Keys.Bytes(),
+		Ejected:     a.Proxy.Ejected(),
+		Owned:       a.View.State().Ownership().OwnedBy(a.View.Self()),
+		Targets:     a.Registry.Status(),
 	}
 	if confirmedAt := a.View.ConfirmedAt(); !confirmedAt.IsZero() {
 		s.StateAge = time.Since(confirmedAt).Seconds()
--- a/wharfnode/internal/wharfcluster/agent.go
+++ b/wharfnode/internal/wharfcluster/agent.go
@@ -28,7 +28,7 @@
 // directory lists the nodes, so that nodes can find each other.
 type directory interface {
 	Seeds(ctx context.Context) ([]string, error)
-	Enter(ctx context.Context, self wharfmember.Member) error
+	Register(ctx context.Context, self wharfmember.Member) error
 	Remove(ctx context.Context, departed wharfmember.Member) error
 }
 
@@ -44,7 +44,7 @@
 type Agent struct {
 	View       *wharfview.View
 	Peers      *wharfpeers.Pool
-	Platform   logClient
+	LogClient  logClient
 	Registry   *wharftarget.Registry
 	Quarantine *wharfquarantine.List
 	Keys       *wharfidempotency.KeyStore
@@ -80,38 +80,38 @@
 // Prepare initializes the agent. It must be called before any other method.
 // Targets can announce themselves and other nodes can call this node between
 // Prepare and Run.
-func (m *Agent) Prepare() {
-	m.pool = pond.NewPool(workers)
-	m.urgent = make(chan struct{}, 1)
-	m.audit.queue = make(chan AuditEntry, auditQueue)
+func (a *Agent) Prepare() {
+	a.pool = pond.NewPool(workers)
+	a.urgent = make(chan struct{}, 1)
+	a.audit.queue = make(chan AuditEntry, auditQueue)
 }
 
 // Run runs the loops of the agent until the context ends, and returns after
 // all of them have stopped.
-func (m *Agent) Run(ctx context.Context) {
+func (a *Agent) Run(ctx context.Context) {
 	var group sync.WaitGroup
 	loops := []func(context.Context){
-		(&rounds{agent: m, rng: wharfrandom.New()}).run,
-		(&follower{agent: m, rng: wharfrandom.New()}).run,
-		(&registration{agent: m, rng: wharfrandom.New()}).run,
-		(&expiry{agent: m}).run,
-		(&pauseDetector{agent: m}).run,
-		m.audit.writer(m).run,
+		(&rounds{agent: a, rng: wharfrandom.New()}).run,
+		(&follower{agent: a, rng: wharfrandom.New()}).run,
+		(&registration{agent: a, rng: wharfrandom.New()}).run,
+		(&expiry{agent: a}).run,
+		(&pauseDetector{agent: a}).run,
+		a.audit.writer(a).run,
 	}
-	if m.OwnsKeys {
-		loops = append(loops, (&ownership{agent: m}).run, (&snapshots{agent: m}).run)
+	if a.OwnsKeys {
+		loops = append(loops, (&ownership{agent: a}).run, (&snapshots{agent: a}).run)
 	}
 	for _, loop := range loops {
 		group.Go(func() { loop(ctx) })
 	}
 	group.Wait()
-	m.pool.StopAndWait()
+	a.pool.StopAndWait()
 }
 
 // TriggerRound requests a gossip round at once. It doesn't block.
-func (m *Agent) TriggerRound() {
+func (a *Agent) TriggerRound() {
 	select {
-	case m.urgent <- struct{}{}:
+	case a.urgent <- struct{}{}:
 	default:
 	}
 }
--- a/wharfnode/internal/wharfcluster/audit.go
+++ b/wharfnode/internal/wharfcluster/audit.go
@@ -28,7 +28,7 @@
 type AuditEntry struct {
 	Time    time.Time     `json:"time"`
 	Node    string        `json:"node"`
-	Act     string        `json:"act"`
+	Action  string        `json:"act"`
 	Details []AuditDetail `json:"details,omitempty"`
 }
 
@@ -45,15 +45,15 @@
 
 // Audit queues an action of this node for the audit stream. It doesn't block. If
 // the queue is full, the action is recorded only in the log of the process.
-func (m *Agent) Audit(action string, details ...wharfevents.Field) {
-	entry := AuditEntry{Time: time.Now(), Node: m.View.Node(), Act: action}
+func (a *Agent) Audit(action string, details ...wharfevents.Field) {
+	entry := AuditEntry{Time: time.Now(), Node: a.View.Node(), Action: action}
 	for _, d := range details {
 		entry.Details = append(entry.Details, AuditDetail{d.Name, fmt.Sprint(d.Value)})
 	}
 	select {
-	case m.audit.queue <- entry:
+	case a.audit.queue <- entry:
 	default:
-		m.Log.Emit(wharfevents.AuditUnavailable, wharfevents.Field{Name: "act", Value: action})
+		a.Log.Emit(wharfevents.AuditUnavailable, wharfevents.Field{Name: "act", Value: action})
 	}
 }
 
@@ -126,7 +126,7 @@
 	if err != nil {
 		return err
 	}
-	_, err = w.agent.Platform.Append(ctx, wharfstate.AuditStream, data)
+	_, err = w.agent.LogClient.Append(ctx, wharfstate.AuditStream, data)
 	w.agent.Metrics.LogAppend(wharfstate.AuditStream, resultName(err))
 	return err
 }
--- a/wharfnode/internal/wharfcluster/audit_test.go
+++ b/wharfnode/internal/wharfcluster/audit_test.go
@@ -25,15 +25,15 @@
 	return wharfstream.Batch{}, wharfstream.ErrUnavailable
 }
 
-// TestLastAppendIsShort guards against a planned stop that waits long for an
+// TestFlushHasShortDeadline guards against a planned stop that waits long for an
 // unavailable log. An audit entry is still queued at the stop; its append gets at
 // most flushTimeout.
-func TestLastAppendIsShort(t *testing.T) {
+func TestFlushHasShortDeadline(t *testing.T) {
 	is := is.New(t)
 	log := &deadlineLog{}
-	m := &Agent{Platform: log}
+	m := &Agent{LogClient: log}
 	m.Prepare()
-	m.audit.queue <- AuditEntry{Act: "node-leaving"}
+	m.audit.queue <- AuditEntry{Action: "node-leaving"}
 	m.audit.writer(m).flush()
 	is.True(log.remaining > 0)
 	is.True(log.remaining <= flushTimeout)
--- a/wharfnode/internal/wharfcluster/expiry.go
+++ b/wharfnode/internal/wharfcluster/expiry.go
@@ -88,12 +88,12 @@
 // BroadcastSuspicions sends suspicions about requests that crash targets to the
 // other nodes of a service in this failure domain. It returns when the calls to all
 // of them have succeeded or failed, or when the context ends.
-func (m *Agent) BroadcastSuspicions(ctx context.Context, service string, entries []wharfquarantine.Entry) {
+func (a *Agent) BroadcastSuspicions(ctx context.Context, service string, entries []wharfquarantine.Entry) {
 	request := &wharfwire.SuspectRequest{Suspicions: wharftarget.PackSuspicions(time.Now(), entries)}
-	group := m.pool.NewGroup()
-	for _, peer := range m.peersOf(service) {
+	group := a.pool.NewGroup()
+	for _, peer := range a.peersOf(service) {
 		group.Submit(func() {
-			client, err := m.Peers.Client(peer.Address)
+			client, err := a.Peers.Client(peer.Address)
 			if err != nil {
 				return
 			}
@@ -102,15 +102,15 @@
 		})
 	}
 	_ = group.Wait()
-	m.TriggerRound()
+	a.TriggerRound()
 }
 
 // peersOf returns the other nodes of a service in this failure domain.
-func (m *Agent) peersOf(service string) []wharfmember.Member {
+func (a *Agent) peersOf(service string) []wharfmember.Member {
 	var out []wharfmember.Member
-	m.View.Members(func(t *wharfmember.Table) {
+	a.View.Members(func(t *wharfmember.Table) {
 		for _, member := range t.Serving(service) {
-			if member.Node != m.View.Node() && member.FailureDomain == m.View.Locality().FailureDomain {
+			if member.Node != a.View.Node() && member.FailureDomain == a.View.Locality().FailureDomain {
 				out = append(out, member)
 			}
 		}
--- a/wharfnode/internal/wharfcluster/follower.go
+++ b/wharfnode/internal/wharfcluster/follower.go
@@ -95,19 +95,19 @@
 
 // readers returns the nodes that read the log for this failure domain: the first
 // alive nodes in the order of a hash.
-func (m *Agent) readers() []string {
+func (a *Agent) readers() []string {
 	var first []string
-	domain := m.View.Locality().FailureDomain
-	m.View.Members(func(t *wharfmember.Table) {
+	domain := a.View.Locality().FailureDomain
+	a.View.Members(func(t *wharfmember.Table) {
 		for _, node := range t.InDomain(domain) {
 			member, _ := t.Get(node)
 			if member.State != wharfmember.Alive {
 				continue
 			}
 			i, _ := slices.BinarySearchFunc(first, node, compareReaders)
-			if i < m.Readers {
+			if i < a.Readers {
 				first = slices.Insert(first, i, node)
-				first = first[:min(len(first), m.Readers)]
+				first = first[:min(len(first), a.Readers)]
 			}
 		}
 	})
@@ -122,7 +122,7 @@
 	v := f.agent.View
 	requestedAt := time.Now()
 	from := max(v.State().Offset()+1, f.from)
-	batch, err := f.agent.Platform.Read(ctx, wharfstate.Stream, from, readLimit, f.agent.PollWait)
+	batch, err := f.agent.LogClient.Read(ctx, wharfstate.StateStream, from, readLimit, f.agent.PollWait)
 	if errors.Is(err, wharfstream.ErrExpired) {
 		f.agent.Log.Emit(wharfevents.RecordsExpired,
 			wharfevents.Field{Name: "from", Value: from},
--- a/wharfnode/internal/wharfcluster/ownership.go
+++ b/wharfnode/internal/wharfcluster/ownership.go
@@ -81,9 +81,9 @@
 }
 
 // served returns the services that have a target here that isn't leaving.
-func (m *Agent) served() []string {
+func (a *Agent) served() []string {
 	var out []string
-	for _, t := range m.Registry.Announced() {
+	for _, t := range a.Registry.Announced() {
 		if !t.Leaving && !slices.Contains(out, t.Service) {
 			out = append(out, t.Service)
 		}
@@ -92,8 +92,8 @@
 	return out
 }
 
-func (m *Agent) owned() []string {
-	return m.View.State().Ownership().OwnedBy(m.View.Self())
+func (a *Agent) owned() []string {
+	return a.View.State().Ownership().OwnedBy(a.View.Self())
 }
 
 func isSubset(part, whole []string) bool {
@@ -110,17 +110,17 @@
 // reports that the record shows in the state. It reports whether that happened in
 // time. A record may be appended twice without harm, so the caller retries after
 // a lost response.
-func (m *Agent) appendOwnership(ctx context.Context, record wharfidempotency.OwnershipRecord, applied func() bool) bool {
+func (a *Agent) appendOwnership(ctx context.Context, record wharfidempotency.OwnershipRecord, applied func() bool) bool {
 	data, err := wharfstate.Envelope{Ownership: &record}.Encode()
 	if err != nil {
 		return false
 	}
-	_, err = m.Platform.Append(ctx, wharfstate.Stream, data)
-	m.Metrics.LogAppend(wharfstate.Stream, resultName(err))
+	_, err = a.LogClient.Append(ctx, wharfstate.StateStream, data)
+	a.Metrics.LogAppend(wharfstate.StateStream, resultName(err))
 	if err != nil {
-		m.Log.Emit(wharfevents.AppendUncertain, wharfevents.ErrorField(err))
+		a.Log.Emit(wharfevents.AppendUncertain, wharfevents.ErrorField(err))
 	}
-	return m.awaitState(ctx, applyTimeout, applied)
+	return a.awaitState(ctx, applyTimeout, applied)
 }
 
 func resultName(err error) string {
@@ -132,11 +132,11 @@
 
 // awaitState waits until a condition on the view holds. It reports false if the
 // timeout expires or the context ends first.
-func (m *Agent) awaitState(ctx context.Context, timeout time.Duration, holds func() bool) bool {
+func (a *Agent) awaitState(ctx context.Context, timeout time.Duration, holds func() bool) bool {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	for {
-		changed := m.View.Changed()
+		changed := a.View.Changed()
 		if holds() {
 			return true
 		}
@@ -151,20 +151,20 @@
 // ReleaseOwnership ends the ownership of this node at a planned stop, and sends
 // its key records to the next owners. It fails if the context ends before the
 // release shows in the state.
-func (m *Agent) ReleaseOwnership(ctx context.Context) error {
-	m.releasing.Store(true)
-	if len(m.owned()) == 0 {
+func (a *Agent) ReleaseOwnership(ctx context.Context) error {
+	a.releasing.Store(true)
+	if len(a.owned()) == 0 {
 		return nil
 	}
-	self := m.View.Self()
+	self := a.View.Self()
 	record := wharfidempotency.OwnershipRecord{Kind: wharfidempotency.Release, Node: self.Node, Incarnation: self.Incarnation}
-	for !m.appendOwnership(ctx, record, func() bool { return len(m.owned()) == 0 }) {
+	for !a.appendOwnership(ctx, record, func() bool { return len(a.owned()) == 0 }) {
 		if ctx.Err() != nil {
 			return oops.Code("release").Errorf("the release could not be written to the log in time")
 		}
 	}
-	m.Log.Emit(wharfevents.OwnershipEnded)
-	if err := m.handOver(ctx); err != nil {
+	a.Log.Emit(wharfevents.OwnershipEnded)
+	if err := a.handOver(ctx); err != nil {
 		return err
 	}
 	record.Kind = wharfidempotency.HandedOver
@@ -172,16 +172,16 @@
 	if err != nil {
 		return err
 	}
-	_, err = m.Platform.Append(ctx, wharfstate.Stream, data)
+	_, err = a.LogClient.Append(ctx, wharfstate.StateStream, data)
 	return err
 }
 
 // handOver sends each key record to the present owner of its key.
-func (m *Agent) handOver(ctx context.Context) error {
+func (a *Agent) handOver(ctx context.Context) error {
 	batches := map[string][]*wharfwire.KeyRecord{}
 	now := time.Now()
-	table := m.View.Ownership().Table
-	for _, x := range m.Keys.Export() {
+	table := a.View.Ownership().Table
+	for _, x := range a.Keys.Export() {
 		if x.ID.Service == "" {
 			continue // Keys that this node generated belong to this node alone.
 		}
@@ -194,24 +194,24 @@
 	handed := 0
 	for address, records := range batches {
 		for batch := range slices.Chunk(records, handOverBatch) {
-			if err := m.sendKeys(ctx, address, batch); err != nil {
+			if err := a.sendKeys(ctx, address, batch); err != nil {
 				return err
 			}
 			handed += len(batch)
 		}
 	}
-	m.Log.Emit(wharfevents.KeysHandedOver, wharfevents.Field{Name: "keys", Value: handed})
+	a.Log.Emit(wharfevents.KeysHandedOver, wharfevents.Field{Name: "keys", Value: handed})
 	return nil
 }
 
-func (m *Agent) sendKeys(ctx context.Context, address string, records []*wharfwire.KeyRecord) error {
-	client, err := m.Peers.Client(address)
+func (a *Agent) sendKeys(ctx context.Context, address string, records []*wharfwire.KeyRecord) error {
+	client, err := a.Peers.Client(address)
 	if err != nil {
 		return err
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	_, err = client.HandOver(ctx, &wharfwire.HandOverRequest{From: m.View.Node(), Records: records})
+	_, err = client.HandOver(ctx, &wharfwire.HandOverRequest{From: a.View.Node(), Records: records})
 	if err != nil {
 		return oops.Code("hand-over").Wrap(err)
 	}
--- a/wharfnode/internal/wharfcluster/registration.go
+++ b/wharfnode/internal/wharfcluster/registration.go
@@ -47,7 +47,7 @@
 }
 
 func (r *registration) enter(ctx context.Context) bool {
-	err := r.agent.Directory.Enter(ctx, r.agent.View.SelfMember())
+	err := r.agent.Directory.Register(ctx, r.agent.View.SelfMember())
 	if err != nil {
 		r.agent.Log.Emit(wharfevents.DirectoryUnavailable, wharfevents.ErrorField(err))
 	}
--- a/wharfnode/internal/wharfcluster/reprobe.go
+++ b/wharfnode/internal/wharfcluster/reprobe.go
@@ -72,7 +72,7 @@
 
 // reprobe tries an exchange at the address of a departed node, in case a node has
 // restarted there.
-func (m *Agent) reprobe(ctx context.Context, departed wharfmember.Member, since uint64) {
+func (a *Agent) reprobe(ctx context.Context, departed wharfmember.Member, since uint64) {
 	// Most departed nodes don't restart, so a failure is expected.
-	_ = m.exchange(ctx, departed.Address, since)
+	_ = a.exchange(ctx, departed.Address, since)
 }
--- a/wharfnode/internal/wharfcluster/round.go
+++ b/wharfnode/internal/wharfcluster/round.go
@@ -69,12 +69,12 @@
 // seed returns. The node gets all members and the state from those members
 // later, so that nodes that start together don't all fetch everything from a
 // few seeds.
-func (m *Agent) join(ctx context.Context) {
-	self := m.View.SelfMember()
-	m.queueUpdates([]wharfmember.Member{self})
-	seeds, err := m.Directory.Seeds(ctx)
+func (a *Agent) join(ctx context.Context) {
+	self := a.View.SelfMember()
+	a.queueUpdates([]wharfmember.Member{self})
+	seeds, err := a.Directory.Seeds(ctx)
 	if err != nil {
-		m.Log.Emit(wharfevents.DirectoryUnavailable, wharfevents.ErrorField(err))
+		a.Log.Emit(wharfevents.DirectoryUnavailable, wharfevents.ErrorField(err))
 	}
 	for _, seed := range seeds {
 		if seed == self.Address {
@@ -82,7 +82,7 @@
 		}
 		// An unreachable seed gets the entry of this node later, by gossip from
 		// other nodes.
-		_ = m.joinSeed(ctx, seed)
+		_ = a.joinSeed(ctx, seed)
 	}
 }
 
@@ -112,54 +112,54 @@
 
 // exchange runs one gossip exchange with the peer at an address. Its first
 // request carries the recent records after the offset since.
-func (m *Agent) exchange(ctx context.Context, address string, since uint64) error {
-	client, err := m.Peers.Client(address)
+func (a *Agent) exchange(ctx context.Context, address string, since uint64) error {
+	client, err := a.Peers.Client(address)
 	if err != nil {
 		return err
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	request := m.request(since)
+	request := a.request(since)
 	response, err := client.Exchange(ctx, request)
 	if err != nil {
 		return err
 	}
-	m.countBytes(request, response)
-	m.applyResponse(response)
-	return m.sync(ctx, client, response)
+	a.countBytes(request, response)
+	a.applyResponse(response)
+	return a.sync(ctx, client, response)
 }
 
 // joinSeed announces this node to the seed at an address and merges the members
 // that the seed returns.
-func (m *Agent) joinSeed(ctx context.Context, address string) error {
-	client, err := m.Peers.Client(address)
+func (a *Agent) joinSeed(ctx context.Context, address string) error {
+	client, err := a.Peers.Client(address)
 	if err != nil {
 		return err
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	request := m.request(m.View.State().Offset())
+	request := a.request(a.View.State().Offset())
 	request.Introduction = true
 	response, err := client.Exchange(ctx, request)
 	if err != nil {
 		return err
 	}
-	m.countBytes(request, response)
-	m.mergeMembers(unpackMembers(response.GetMembers()))
+	a.countBytes(request, response)
+	a.mergeMembers(unpackMembers(response.GetMembers()))
 	return nil
 }
 
 // sync exchanges member entries with a peer until both tables are equal, in at
 // most maxSyncs exchanges.
-func (m *Agent) sync(ctx context.Context, client wharfwire.NodeClient, response *wharfwire.ExchangeResponse) error {
+func (a *Agent) sync(ctx context.Context, client wharfwire.NodeClient, response *wharfwire.ExchangeResponse) error {
 	for i := 0; i < maxSyncs && len(response.GetBuckets()) > 0; i++ {
-		request := m.syncRequest(response.GetBuckets())
+		request := a.syncRequest(response.GetBuckets())
 		next, err := client.Exchange(ctx, request)
 		if err != nil {
 			return err
 		}
-		m.countBytes(request, next)
-		m.applyResponse(next)
+		a.countBytes(request, next)
+		a.applyResponse(next)
 		if len(next.GetMembers()) == 0 && len(request.GetMembers()) == 0 {
 			return nil
 		}
@@ -170,48 +170,48 @@
 
 // recordExchange passes the result of an exchange with a peer to the failure
 // detector. A failure is reported only for a peer of this failure domain.
-func (m *Agent) recordExchange(p wharfmember.Member, ok bool) {
-	m.mu.Lock()
-	shouldReport := m.detector.RecordExchange(p.Node, ok)
-	m.mu.Unlock()
-	if !shouldReport || p.FailureDomain != m.View.Locality().FailureDomain {
+func (a *Agent) recordExchange(p wharfmember.Member, ok bool) {
+	a.mu.Lock()
+	shouldReport := a.detector.RecordExchange(p.Node, ok)
+	a.mu.Unlock()
+	if !shouldReport || p.FailureDomain != a.View.Locality().FailureDomain {
 		return
 	}
-	m.reportFailure(wharfmember.FailureReport{Subject: p.Node, Incarnation: p.Incarnation, Reporter: m.View.Node()})
+	a.reportFailure(wharfmember.FailureReport{Subject: p.Node, Incarnation: p.Incarnation, Reporter: a.View.Node()})
 }
 
 // reportFailure adds a failure report of this node or of another reporter, and
 // declares the subject down when enough reporters agree. Later exchanges pass
 // the report on.
-func (m *Agent) reportFailure(report wharfmember.FailureReport) {
-	subject, known := m.View.Member(report.Subject)
+func (a *Agent) reportFailure(report wharfmember.FailureReport) {
+	subject, known := a.View.Member(report.Subject)
 	if !known || subject.Incarnation != report.Incarnation || subject.State > wharfmember.Leaving {
 		return
 	}
-	monitors := m.View.MonitorCount(report.Subject)
-	m.mu.Lock()
-	down := m.detector.AddReport(time.Now(), report, monitors)
-	m.mu.Unlock()
+	monitors := a.View.MonitorCount(report.Subject)
+	a.mu.Lock()
+	down := a.detector.AddReport(time.Now(), report, monitors)
+	a.mu.Unlock()
 	if !down {
 		return
 	}
-	m.Log.Emit(wharfevents.MemberDown, wharfevents.Field{Name: "node", Value: report.Subject})
-	m.mergeMembers([]wharfmember.Member{subject.WithState(wharfmember.Down)})
+	a.Log.Emit(wharfevents.MemberDown, wharfevents.Field{Name: "node", Value: report.Subject})
+	a.mergeMembers([]wharfmember.Member{subject.WithState(wharfmember.Down)})
 }
 
 // queueUpdates queues changed member entries for the next exchanges. It drops
 // queued entries that are older than updateTTL and, beyond maxUpdates, the
 // oldest ones.
-func (m *Agent) queueUpdates(members []wharfmember.Member) {
+func (a *Agent) queueUpdates(members []wharfmember.Member) {
 	now := time.Now()
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	kept := slices.DeleteFunc(m.updates, func(u memberUpdate) bool { return now.Sub(u.at) >= updateTTL })
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	kept := slices.DeleteFunc(a.updates, func(u memberUpdate) bool { return now.Sub(u.at) >= updateTTL })
 	for _, member := range members {
 		kept = append(kept, memberUpdate{member, now})
 	}
 	if extra := len(kept) - maxUpdates; extra > 0 {
 		kept = kept[extra:]
 	}
-	m.updates = kept
+	a.updates = kept
 }
--- a/wharfnode/internal/wharfcluster/snapshot.go
+++ b/wharfnode/internal/wharfcluster/snapshot.go
@@ -63,8 +63,8 @@
 		return
 	}
 	s.seenAt = time.Now()
-	_, err = s.agent.Platform.Append(ctx, wharfstate.Stream, record)
-	s.agent.Metrics.LogAppend(wharfstate.Stream, resultName(err))
+	_, err = s.agent.LogClient.Append(ctx, wharfstate.StateStream, record)
+	s.agent.Metrics.LogAppend(wharfstate.StateStream, resultName(err))
 	if err != nil {
 		s.agent.Log.Emit(wharfevents.AppendUncertain, wharfevents.ErrorField(err))
 		return
--- a/wharfnode/internal/wharfprocess/cluster_test.go
+++ b/wharfnode/internal/wharfprocess/cluster_test.go
@@ -22,7 +22,7 @@
 )
 
 // ports allocates the addresses of this package's tests.
-var ports = wharftest.Ports{First: 15000}
+var ports = wharftest.Ports{Base: 15000}
 
 // process is a program that runs as a child process and can be started again.
 type process struct {
--- a/wharfnode/internal/wharfproxy/attempt.go
+++ b/wharfnode/internal/wharfproxy/attempt.go
@@ -141,9 +141,9 @@
 	switch reason {
 	case wharfoutcome.ReasonTargetCrashed, wharfoutcome.ReasonUnreachable:
 		return wharfrouting.TargetFailed
-	case wharfoutcome.ReasonNoTarget, wharfoutcome.ReasonTargetSilent:
+	case wharfoutcome.ReasonNoTarget, wharfoutcome.ReasonTargetUnresponsive:
 		return wharfrouting.Unreachable
-	case wharfoutcome.ReasonAnswerLost, wharfoutcome.ReasonAnswerIncomplete:
+	case wharfoutcome.ReasonResponseLost, wharfoutcome.ReasonResponseIncomplete:
 		return wharfrouting.ResponseLost
 	default:
 		return fallback
@@ -157,15 +157,15 @@
 		return nil
 	}
 	return &wharfrouting.LoadReport{
-		Running:     int(l.GetInFlight()),
-		Queued:      int(l.GetQueued()),
-		Limit:       int(l.GetLimit()),
-		LowestRank:  int(l.GetLowestRank()),
-		QueueRoom:   int(l.GetRoom()),
-		RouteLevel:  wharfadmission.Priority(min(l.GetRouteLevel(), uint32(wharfadmission.LevelOpen))),
-		FromService: l.GetInternal(),
-		QueueDelay:  time.Duration(l.GetPressureMs()) * time.Millisecond,
-		RetryAfter:  time.Duration(head.GetRetryAfterMs()) * time.Millisecond,
+		Running:            int(l.GetInFlight()),
+		Queued:             int(l.GetQueued()),
+		Limit:              int(l.GetLimit()),
+		LeastImportantRank: int(l.GetLowestRank()),
+		QueueRoom:          int(l.GetRoom()),
+		RouteLevel:         wharfadmission.Priority(min(l.GetRouteLevel(), uint32(wharfadmission.LevelOpen))),
+		FromService:        l.GetInternal(),
+		QueueDelay:         time.Duration(l.GetPressureMs()) * time.Millisecond,
+		RetryAfter:         time.Duration(head.GetRetryAfterMs()) * time.Millisecond,
 	}
 }
 
@@ -183,7 +183,7 @@
 		result.outcome = wharfoutcome.Uncertain(x.proxy.endReason(c))
 		return result
 	}
-	result.outcome = wharfoutcome.Uncertain(wharfoutcome.ReasonAnswerLost)
+	result.outcome = wharfoutcome.Uncertain(wharfoutcome.ReasonResponseLost)
 	if errors.Is(context.Cause(x.ctx), wharfliveness.ErrUnresponsive) {
 		// A query to the unresponsive node would fail only at its timeout.
 		return result
@@ -232,7 +232,7 @@
 	owner := wharfidempotency.Owner{Node: member.Node, Incarnation: member.Incarnation, Address: member.Address}
 	entry, err := x.proxy.Consulter.Consult(ctx, owner, wharftarget.GeneratedKey(x.head.GetAttemptId()))
 	if err == nil && entry.State == wharfidempotency.Absent {
-		return wharfoutcome.Refuse(wharfoutcome.ReasonAnswerLost)
+		return wharfoutcome.Refuse(wharfoutcome.ReasonResponseLost)
 	}
 	return o
 }
--- a/wharfnode/internal/wharfproxy/grant.go
+++ b/wharfnode/internal/wharfproxy/grant.go
@@ -54,7 +54,7 @@
 }
 
 func (g *ledgerGrant) take() (delegated int, ok bool) {
-	return g.ledger.Take(g.id)
+	return g.ledger.TakeAttempt(g.id)
 }
 
 func (g *ledgerGrant) refundUnused(delegated, returned int) {
@@ -66,9 +66,9 @@
 }
 
 func (g *ledgerGrant) begin() {
-	g.ledger.CallBegins(time.Now(), g.id)
+	g.ledger.BeginDownstreamCall(time.Now(), g.id)
 }
 
 func (g *ledgerGrant) end(result wharfbudget.DownstreamResult) {
-	g.ledger.CallEnds(time.Now(), g.id, result)
+	g.ledger.EndDownstreamCall(time.Now(), g.id, result)
 }
--- a/wharfnode/internal/wharfproxy/proxy.go
+++ b/wharfnode/internal/wharfproxy/proxy.go
@@ -56,7 +56,7 @@
 	retryBudget wharfbudget.RetryBudget
 	// safeRequests holds the fingerprints of requests that completed without a
 	// crash.
-	safeRequests wharfquarantine.SafeSet
+	safeRequests wharfquarantine.KnownSafeSet
 	calls        atomic.Int64
 }
 
@@ -149,7 +149,7 @@
 	p.Protocol.Refuse(c.w, o)
 }
 
-// Calls returns the number of requests in flight.
-func (p *Proxy) Calls() int {
+// InFlight returns the number of requests in flight.
+func (p *Proxy) InFlight() int {
 	return int(p.calls.Load())
 }
--- a/wharfnode/internal/wharfproxy/respond.go
+++ b/wharfnode/internal/wharfproxy/respond.go
@@ -27,7 +27,7 @@
 	head := frame.GetHead()
 	result := attemptResult{
 		sent: true, outcome: wharfoutcome.Done(),
-		routing: wharfrouting.Answered, report: loadReport(head),
+		routing: wharfrouting.Responded, report: loadReport(head),
 	}
 	if head.GetStatus() >= http.StatusInternalServerError {
 		// An error response arrives faster than a successful one. Its low
@@ -52,7 +52,7 @@
 	}
 	x.writeHead(head, head.GetContentLength())
 	if !x.streamRest(&buffered, &result) {
-		x.proxy.Log.Emit(wharfevents.AnswerIncomplete, wharfevents.Field{Name: "target", Value: x.target.Address})
+		x.proxy.Log.Emit(wharfevents.ResponseIncomplete, wharfevents.Field{Name: "target", Value: x.target.Address})
 		// The caller already has a part of the response. Aborting the connection
 		// is the only way to signal that the rest is missing.
 		panic(http.ErrAbortHandler)
@@ -63,7 +63,7 @@
 // responseBody collects the body of a response from its frames.
 type responseBody struct {
 	bytes.Buffer
-	stream wharftransport.Exchange
+	stream wharftransport.ClientStream
 	sum    wharfwire.BodySum
 }
 
@@ -92,13 +92,13 @@
 // truncatedResult returns the result of an attempt whose response was truncated
 // before the caller received any of it.
 func (x *transfer) truncatedResult(err error, head *wharfwire.AnswerHead) attemptResult {
-	x.proxy.Log.Emit(wharfevents.AnswerIncomplete,
+	x.proxy.Log.Emit(wharfevents.ResponseIncomplete,
 		wharfevents.Field{Name: "target", Value: x.target.Address},
 		wharfevents.ErrorField(err))
 	result := x.failedResult(err)
 	result.report = loadReport(head)
-	if result.outcome.Kind == wharfoutcome.Unknown && result.outcome.Reason == wharfoutcome.ReasonAnswerLost {
-		result.outcome.Reason = wharfoutcome.ReasonAnswerIncomplete
+	if result.outcome.Kind == wharfoutcome.Unknown && result.outcome.Reason == wharfoutcome.ReasonResponseLost {
+		result.outcome.Reason = wharfoutcome.ReasonResponseIncomplete
 	}
 	return result
 }
--- a/wharfnode/internal/wharfproxy/route.go
+++ b/wharfnode/internal/wharfproxy/route.go
@@ -46,8 +46,8 @@
 		Idempotent: r.Idempotent,
 		Timeout:    r.Timeout,
 		MaxTimeout: r.Timeout,
-		Attempts:   r.Targets + refusedTries,
-		Targets:    r.Targets,
+		Attempts:   r.MaxTargets + refusedTries,
+		MaxTargets: r.MaxTargets,
 		Objective:  r.Objective,
 	}
 }
--- a/wharfnode/internal/wharfproxy/send.go
+++ b/wharfnode/internal/wharfproxy/send.go
@@ -134,7 +134,7 @@
 	}
 	owner, ok := s.proxy.View.Ownership().Table.Owner(c.service, c.key)
 	if !ok {
-		return r, wharfoutcome.ReasonHomeUnreachable
+		return r, wharfoutcome.ReasonOwnerUnreachable
 	}
 	// The owner detects a resend by its key, so the same target may be tried
 	// again.
@@ -178,7 +178,7 @@
 		return
 	}
 	switch s.last.outcome.Reason {
-	case wharfoutcome.ReasonOverload, wharfoutcome.ReasonOverloadBelow, wharfoutcome.ReasonDeadline:
+	case wharfoutcome.ReasonOverload, wharfoutcome.ReasonDownstreamOverload, wharfoutcome.ReasonDeadline:
 		s.proxy.Backpressure.Observe(wharfadmission.MaxQueueDelay)
 	default:
 		s.proxy.Backpressure.Observe(report.QueueDelay)
@@ -196,7 +196,7 @@
 		safe := c.policy.Idempotent || s.last.outcome.Kind == wharfoutcome.NotRun
 		return safe && s.call.tries < plainTries && !c.body.restSent
 	}
-	if request.PinnedNode != "" && s.call.tries >= ownerTries || c.policy.Targets > 0 && s.arrivals >= c.policy.Targets {
+	if request.PinnedNode != "" && s.call.tries >= ownerTries || c.policy.MaxTargets > 0 && s.arrivals >= c.policy.MaxTargets {
 		return false
 	}
 	if request.PinnedNode == "" {
--- a/wharfnode/internal/wharfproxy/transfer.go
+++ b/wharfnode/internal/wharfproxy/transfer.go
@@ -19,7 +19,7 @@
 	proxy  *Proxy
 	call   *call
 	target wharfrouting.Target
-	stream wharftransport.Exchange
+	stream wharftransport.ClientStream
 	head   *wharfwire.CallHead
 	// ctx is the context of the stream. It ends with the cause
 	// wharfliveness.ErrUnresponsive if the node stops responding.
@@ -90,7 +90,7 @@
 		}
 		head := frame.GetHead()
 		if head == nil || head.GetAttemptId() != x.head.GetAttemptId() {
-			x.proxy.Log.Emit(wharfevents.LateAnswer, wharfevents.Field{Name: "target", Value: x.target.Address})
+			x.proxy.Log.Emit(wharfevents.LateResponse, wharfevents.Field{Name: "target", Value: x.target.Address})
 			continue
 		}
 		// A completed request has a reason if its response was not stored, so that
--- a/wharfnode/internal/wharftarget/admit.go
+++ b/wharfnode/internal/wharftarget/admit.go
@@ -23,11 +23,11 @@
 func (s *Server) admit(c *call) (wharfoutcome.Outcome, bool) {
 	if !s.admitsClient(c) {
 		s.abandonKey(c)
-		return wharfoutcome.Refuse(wharfoutcome.ReasonOverloadBelow).WithRetryAfter(s.Backpressure.RetryAfter(c.ticketPriority())), false
+		return wharfoutcome.Refuse(wharfoutcome.ReasonDownstreamOverload).WithRetryAfter(s.Backpressure.RetryAfter(c.ticketPriority())), false
 	}
 	if c.target.monitor.Unresponsive() {
 		s.abandonKey(c)
-		return wharfoutcome.Refuse(wharfoutcome.ReasonTargetSilent), false
+		return wharfoutcome.Refuse(wharfoutcome.ReasonTargetUnresponsive), false
 	}
 	o, run := c.target.admit(c)
 	if !run {
@@ -206,7 +206,7 @@
 		Queued:     uint32(l.Queued),
 		Limit:      uint32(l.Limit),
 		RouteLevel: uint32(level),
-		LowestRank: uint32(max(l.LowestRank, 0)),
+		LowestRank: uint32(max(l.LeastImportantRank, 0)),
 		Room:       uint32(l.QueueRoom),
 		Internal:   !c.fromClient,
 		PressureMs: uint32(max(wait, downstreamDelay).Milliseconds()),
--- a/wharfnode/internal/wharftarget/body.go
+++ b/wharfnode/internal/wharftarget/body.go
@@ -12,7 +12,7 @@
 // callBody is the request body of a call, which Read takes from the frames of the
 // call.
 type callBody struct {
-	stream   wharftransport.Stream
+	stream   wharftransport.ServerStream
 	unread   []byte
 	sum      wharfwire.BodySum
 	complete bool
@@ -24,7 +24,7 @@
 
 // newCallBody returns the body of the call on a stream whose first frame was already
 // received.
-func newCallBody(stream wharftransport.Stream, first *wharfwire.CallFrame) *callBody {
+func newCallBody(stream wharftransport.ServerStream, first *wharfwire.CallFrame) *callBody {
 	b := &callBody{stream: stream}
 	b.err = b.addFrame(first)
 	return b
--- a/wharfnode/internal/wharftarget/crash.go
+++ b/wharfnode/internal/wharftarget/crash.go
@@ -40,8 +40,8 @@
 	s.Log.Emit(wharfevents.DispatchFailed,
 		wharfevents.Field{Name: "target", Value: c.target.address},
 		wharfevents.ErrorField(err))
-	if (conn.idle > staleIdleTime || s.RefusesAfterCrash) && s.acceptsConnections(c) {
-		return wharfoutcome.Uncertain(wharfoutcome.ReasonAnswerLost)
+	if (conn.idle > staleIdleTime || s.CrashedRefusesConnections) && s.acceptsConnections(c) {
+		return wharfoutcome.Uncertain(wharfoutcome.ReasonResponseLost)
 	}
 	s.reportCrash(c)
 	return wharfoutcome.Uncertain(wharfoutcome.ReasonTargetCrashed)
@@ -58,8 +58,8 @@
 	if reason != wharfoutcome.ReasonNone {
 		return wharfoutcome.Uncertain(reason)
 	}
-	if s.RefusesAfterCrash && s.acceptsConnections(c) {
-		return wharfoutcome.Uncertain(wharfoutcome.ReasonAnswerIncomplete)
+	if s.CrashedRefusesConnections && s.acceptsConnections(c) {
+		return wharfoutcome.Uncertain(wharfoutcome.ReasonResponseIncomplete)
 	}
 	s.reportCrash(c)
 	return wharfoutcome.Uncertain(wharfoutcome.ReasonTargetCrashed)
@@ -72,7 +72,7 @@
 	case !time.Now().Before(c.deadline):
 		return wharfoutcome.ReasonDeadline
 	case errors.Is(context.Cause(ctx), wharfliveness.ErrUnresponsive):
-		return wharfoutcome.ReasonTargetSilent
+		return wharfoutcome.ReasonTargetUnresponsive
 	case ctx.Err() != nil:
 		return wharfoutcome.ReasonCancelled
 	case c.body.aborted.Load():
--- a/wharfnode/internal/wharftarget/liveness.go
+++ b/wharfnode/internal/wharftarget/liveness.go
@@ -9,11 +9,11 @@
 // refuses the calls that wait for an unresponsive target, so that their senders can
 // try another one.
 func (g *Registry) onLivenessChange(t *target, unresponsive bool) {
-	event := wharfevents.TargetAnswers
+	event := wharfevents.TargetResponsive
 	if unresponsive {
-		event = wharfevents.TargetSilent
+		event = wharfevents.TargetUnresponsive
 		t.mu.Lock()
-		t.rejectWaiting(wharfoutcome.ReasonTargetSilent)
+		t.rejectWaiting(wharfoutcome.ReasonTargetUnresponsive)
 		t.mu.Unlock()
 	}
 	g.log.Emit(event, wharfevents.Field{Name: "target", Value: t.address})
--- a/wharfnode/internal/wharftarget/ownership.go
+++ b/wharfnode/internal/wharftarget/ownership.go
@@ -80,7 +80,7 @@
 func (s *Server) askPreviousOwner(c *call, owner wharfidempotency.Owner) wharfidempotency.Decision {
 	entry, err := s.Consulter.Consult(c.ctx, owner, c.key)
 	if err != nil {
-		return s.deduplicator().PreviousUnreachable(c.key)
+		return s.deduplicator().AbortUnreachable(c.key)
 	}
 	return s.Keys.MergePrevious(time.Now(), c.key, entry)
 }
@@ -99,7 +99,7 @@
 		// The action is Join. claimKey handles it for a caller's key, so the key is a
 		// generated one. Each attempt has its own generated key and is sent once, so
 		// another request with the key is not expected.
-		return wharfoutcome.Uncertain(wharfoutcome.ReasonAnswerLost), false
+		return wharfoutcome.Uncertain(wharfoutcome.ReasonResponseLost), false
 	}
 }
 
@@ -121,7 +121,7 @@
 		return wharfoutcome.Outcome{}, true
 	}
 	s.joiners.wake(c.key)
-	return wharfoutcome.Refuse(wharfoutcome.ReasonHomeMoved), false
+	return wharfoutcome.Refuse(wharfoutcome.ReasonOwnerMoved), false
 }
 
 // abandonKey drops the key of a call that was refused before its dispatch.
--- a/wharfnode/internal/wharftarget/receive.go
+++ b/wharfnode/internal/wharftarget/receive.go
@@ -53,12 +53,12 @@
 	Broadcaster broadcaster
 	Auditor     auditor
 	Protocol    wharfprotocol.TargetProtocol
-	// RefusesAfterCrash is true if a crashed target refuses connections for a while.
-	// If such a target accepts a new connection after a request has failed, it has
-	// not crashed; only the response was lost.
-	RefusesAfterCrash bool
-	Log               wharfevents.Log
-	Metrics           wharfevents.Metrics
+	// CrashedRefusesConnections is true if a crashed target refuses connections for
+	// a while. If such a target accepts a new connection after a request has
+	// failed, it has not crashed; only the response was lost.
+	CrashedRefusesConnections bool
+	Log                       wharfevents.Log
+	Metrics                   wharfevents.Metrics
 
 	joiners joiners
 	client  dispatcher
@@ -72,7 +72,7 @@
 	id          uint64
 	ctx         context.Context
 	head        *wharfwire.CallHead
-	stream      wharftransport.Stream
+	stream      wharftransport.ServerStream
 	body        *callBody
 	config      *wharfconfig.Snapshot
 	deadline    time.Time
@@ -118,7 +118,7 @@
 }
 
 // Call serves one call from another node, or from this one.
-func (s *Server) Call(stream wharftransport.Stream) error {
+func (s *Server) Call(stream wharftransport.ServerStream) error {
 	frame, err := stream.Recv()
 	if err != nil {
 		return err
@@ -144,7 +144,7 @@
 		target:      s.Registry.serving(head.GetService(), head.GetTarget()),
 		grant:       wharfbudget.GrantID(rand.Uint64()),
 	}
-	c.fromClient = head.GetDepth() == 0 && s.Backpressure.IsClientRequest(head.GetRoute(), head.GetCaller(), s.View.Services())
+	c.fromClient = head.GetDepth() == 0 && s.Backpressure.IsClientRequest(head.GetRoute(), head.GetCaller(), s.View.ServiceCount())
 	return s.serve(c)
 }
 
@@ -213,7 +213,7 @@
 	return wharfadmission.Priority(min(c.head.GetPriority(), uint32(wharfadmission.LevelOpen)))
 }
 
-// Calls returns the number of calls that are being served.
-func (s *Server) Calls() int {
+// CallsInFlight returns the number of calls that are being served.
+func (s *Server) CallsInFlight() int {
 	return int(s.calls.Load())
 }
--- a/wharfnode/internal/wharftarget/registry.go
+++ b/wharfnode/internal/wharftarget/registry.go
@@ -63,9 +63,9 @@
 	return &Registry{variant: v, log: log}
 }
 
-// Renew applies an announcement of a target. It reports whether the target is new or
+// Announce applies an announcement of a target. It reports whether the target is new or
 // was leaving, or whether the announcement differs from the last one.
-func (g *Registry) Renew(now time.Time, info wharfmember.Target) bool {
+func (g *Registry) Announce(now time.Time, info wharfmember.Target) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, t := range g.targets {
@@ -105,9 +105,9 @@
 	case "fifo":
 		cfg.Order = wharfadmission.FIFO
 	case "objective":
-		cfg.Order = wharfadmission.Objective
+		cfg.Order = wharfadmission.ObjectiveOrder
 	case "arrival":
-		cfg.Order = wharfadmission.Arrival
+		cfg.Order = wharfadmission.ArrivalOrder
 	}
 	return cfg
 }
--- a/wharfnode/internal/wharftarget/response.go
+++ b/wharfnode/internal/wharftarget/response.go
@@ -89,7 +89,7 @@
 		c.err = abortedError(o.Reason)
 		return wharfoutcome.Outcome{}, true
 	}
-	*result = wharfadmission.Answered
+	*result = wharfadmission.Responded
 	if isShed(response.StatusCode) && !c.downstream.DownstreamRefused {
 		*result = wharfadmission.Shed
 	}
--- a/wharfnode/internal/wharftest/wharftest.go
+++ b/wharfnode/internal/wharftest/wharftest.go
@@ -29,10 +29,10 @@
 // the operating system. This keeps other sockets from taking a port between its
 // allocation and its use. It is safe for concurrent use.
 type Ports struct {
-	// First is one less than the first port of the range. Each test package has
+	// Base is one less than the first port of the range. Each test package has
 	// its own range.
-	First uint32
-	used  atomic.Uint32
+	Base uint32
+	used atomic.Uint32
 }
 
 // Address returns an address on which nothing listens. It fails the test if it
@@ -40,7 +40,7 @@
 func (p *Ports) Address(t *testing.T) string {
 	t.Helper()
 	for range 1000 {
-		address := fmt.Sprintf("127.0.0.1:%d", p.First+p.used.Add(1))
+		address := fmt.Sprintf("127.0.0.1:%d", p.Base+p.used.Add(1))
 		l, err := (&net.ListenConfig{}).Listen(t.Context(), "tcp", address)
 		if err != nil {
 			continue
--- a/wharfnode/internal/wharftransport/client.go
+++ b/wharfnode/internal/wharftransport/client.go
@@ -55,9 +55,9 @@
 	transport *http.Transport
 }
 
-// Exchange is the sending side of a call. After the first Recv, one goroutine
+// ClientStream is the sending side of a call. After the first Recv, one goroutine
 // may send frames while another receives.
-type Exchange interface {
+type ClientStream interface {
 	// Send sends a frame, which the sender must not change afterwards. Frames
 	// may be buffered until the first Recv and are then sent together.
 	Send(f *wharfwire.CallFrame) error
@@ -83,16 +83,16 @@
 
 // onLivenessChange logs that a node has become unresponsive or responds again.
 func (c *Client) onLivenessChange(address string, unresponsive bool) {
-	event := wharfevents.NodeAnswers
+	event := wharfevents.NodeResponsive
 	if unresponsive {
-		event = wharfevents.NodeSilent
+		event = wharfevents.NodeUnresponsive
 	}
 	c.Log.Emit(event, wharfevents.Field{Name: "node", Value: address})
 }
 
 // Open begins a call to the node at an address. The call ends when its context
 // does.
-func (c *Client) Open(ctx context.Context, address string) Exchange {
+func (c *Client) Open(ctx context.Context, address string) ClientStream {
 	if address == c.SelfAddress && c.Receiver != nil {
 		return newLocalCall(ctx, c.Receiver)
 	}
--- a/wharfnode/internal/wharftransport/frame.go
+++ b/wharfnode/internal/wharftransport/frame.go
@@ -27,9 +27,9 @@
 	maxPooledBufferSize = 64 << 10
 )
 
-// Stream is the receiving side of a call. Its context ends when the sender
+// ServerStream is the receiving side of a call. Its context ends when the sender
 // disconnects or cancels the call.
-type Stream interface {
+type ServerStream interface {
 	Context() context.Context
 	Recv() (*wharfwire.CallFrame, error)
 	Send(f *wharfwire.AnswerFrame) error
@@ -40,7 +40,7 @@
 	// Call serves one call. If it returns an error, the response is aborted, and
 	// the sender must treat what it received as incomplete. The sender gets the
 	// reason of an AbortedError.
-	Call(s Stream) error
+	Call(s ServerStream) error
 }
 
 var unmarshal = protodelim.UnmarshalOptions{MaxSize: maxFrameSize}
--- a/wharfnode/internal/wharftransport/transport_test.go
+++ b/wharfnode/internal/wharftransport/transport_test.go
@@ -49,10 +49,10 @@
 // scriptedReceiver serves calls with a function and counts them.
 type scriptedReceiver struct {
 	arrivals atomic.Int32
-	serve    func(s Stream, first *wharfwire.CallFrame) error
+	serve    func(s ServerStream, first *wharfwire.CallFrame) error
 }
 
-func (r *scriptedReceiver) Call(s Stream) error {
+func (r *scriptedReceiver) Call(s ServerStream) error {
 	f, err := s.Recv()
 	if err != nil {
 		return err
@@ -77,7 +77,7 @@
 }
 
 // sendComplete sends a complete response in one frame.
-func sendComplete(s Stream, f *wharfwire.CallFrame) error {
+func sendComplete(s ServerStream, f *wharfwire.CallFrame) error {
 	return s.Send(&wharfwire.AnswerFrame{
 		Head: &wharfwire.AnswerHead{AttemptId: f.GetHead().GetAttemptId()}, End: &wharfwire.AnswerEnd{},
 	})
@@ -104,7 +104,7 @@
 	var broken atomic.Bool
 	var listener *breakingListener
 	r := &scriptedReceiver{}
-	r.serve = func(s Stream, f *wharfwire.CallFrame) error {
+	r.serve = func(s ServerStream, f *wharfwire.CallFrame) error {
 		if broken.Load() {
 			listener.closeAll()
 			return nil
@@ -149,7 +149,7 @@
 // TestCalls makes short, streamed and aborted calls over the network and within
 // the process. Both ways must give the same frames and errors.
 func TestCalls(t *testing.T) {
-	upload := func(s Stream, f *wharfwire.CallFrame) error {
+	upload := func(s ServerStream, f *wharfwire.CallFrame) error {
 		if err := s.Send(&wharfwire.AnswerFrame{Admitted: &wharfwire.Admitted{AttemptId: 7}}); err != nil {
 			return err
 		}
@@ -165,16 +165,16 @@
 			Head: &wharfwire.AnswerHead{AttemptId: 7, ContentLength: int64(size)}, End: &wharfwire.AnswerEnd{},
 		})
 	}
-	abortBeforeHead := func(s Stream, _ *wharfwire.CallFrame) error {
+	abortBeforeHead := func(s ServerStream, _ *wharfwire.CallFrame) error {
 		return &AbortedError{wharfoutcome.ReasonTargetCrashed}
 	}
-	abortAfterHead := func(s Stream, _ *wharfwire.CallFrame) error {
+	abortAfterHead := func(s ServerStream, _ *wharfwire.CallFrame) error {
 		_ = s.Send(&wharfwire.AnswerFrame{Head: &wharfwire.AnswerHead{AttemptId: 7}})
 		return &AbortedError{wharfoutcome.ReasonTargetCrashed}
 	}
 	tests := []struct {
 		name     string
-		serve    func(Stream, *wharfwire.CallFrame) error
+		serve    func(ServerStream, *wharfwire.CallFrame) error
 		streamed bool
 		length   int64
 		aborted  bool
@@ -231,16 +231,16 @@
 	}
 }
 
-// TestLeavingSenderIsNoticed cancels a call while the node serves it. The
+// TestSenderDisconnectEndsContext cancels a call while the node serves it. The
 // context of the node's stream must end, for short calls and for uploads whose
 // body was sent completely. Otherwise the node would go on working for a sender
 // that has disconnected.
-func TestLeavingSenderIsNoticed(t *testing.T) {
+func TestSenderDisconnectEndsContext(t *testing.T) {
 	for _, streamed := range []bool{false, true} {
 		t.Run(map[bool]string{false: "short", true: "upload"}[streamed], func(t *testing.T) {
 			is := is.New(t)
 			started, cancelled := make(chan struct{}), make(chan struct{})
-			r := &scriptedReceiver{serve: func(s Stream, f *wharfwire.CallFrame) error {
+			r := &scriptedReceiver{serve: func(s ServerStream, f *wharfwire.CallFrame) error {
 				if streamed {
 					if err := s.Send(&wharfwire.AnswerFrame{Admitted: &wharfwire.Admitted{}}); err != nil {
 						return err
--- a/wharfnode/internal/wharfview/members.go
+++ b/wharfnode/internal/wharfview/members.go
@@ -110,7 +110,7 @@
 		FailureDomain: m.FailureDomain,
 		Region:        m.Region,
 		Slots:         t.Slots,
-		Leaving:       leaving || t.Leaving || !m.TakesWork(),
+		Leaving:       leaving || t.Leaving || !m.AcceptsRequests(),
 	}
 }
 
--- a/wharfnode/internal/wharfview/view.go
+++ b/wharfnode/internal/wharfview/view.go
@@ -94,8 +94,8 @@
 	return v.State().Config()
 }
 
-// Services returns how many services have targets.
-func (v *View) Services() int {
+// ServiceCount returns how many services have targets.
+func (v *View) ServiceCount() int {
 	return int(v.services.Load())
 }
 
@@ -113,7 +113,7 @@
 // that bound how long the record of a key is needed.
 func (v *View) DedupWindow() wharfidempotency.DedupWindow {
 	c := v.Config()
-	return wharfidempotency.DedupWindow{Resend: c.ResendHorizon(), Skew: c.ClockSkew(), Staleness: c.HomeStaleness()}
+	return wharfidempotency.DedupWindow{Resend: c.ResendHorizon(), Skew: c.ClockSkew(), Staleness: c.OwnerStaleness()}
 }
 
 // ConfirmedAt returns the latest time for which the state is known to be complete.
--- a/wharfnode/wharfevents/catalogue.go
+++ b/wharfnode/wharfevents/catalogue.go
@@ -24,7 +24,7 @@
 	NodeStarted      = Event{1001, "node-started", log.InfoLevel, "node started"}
 	NodeStopping     = Event{1002, "node-stopping", log.InfoLevel, "planned stop began"}
 	NodeStopped      = Event{1003, "node-stopped", log.InfoLevel, "node stopped"}
-	StopCutRequests  = Event{1004, "stop-cut-requests", log.ErrorLevel, "stop timeout reached with requests in flight"}
+	StopTimedOut     = Event{1004, "stop-cut-requests", log.ErrorLevel, "stop timeout reached with requests in flight"}
 	ListenFailed     = Event{1005, "listen-failed", log.ErrorLevel, "can't listen on the address"}
 	SettingsReloaded = Event{1007, "settings-reloaded", log.InfoLevel, "changed settings applied"}
 	SettingsRefused  = Event{1008, "settings-refused", log.ErrorLevel, "changed settings can't be used"}
@@ -33,26 +33,26 @@
 
 // Events of requests.
 var (
-	BadRequest       = Event{2001, "bad-request", log.WarnLevel, "request refused for bad input"}
-	LateAnswer       = Event{2002, "late-answer", log.WarnLevel, "response of another attempt discarded"}
-	AnswerIncomplete = Event{2003, "answer-incomplete", log.WarnLevel, "response truncated"}
-	DispatchFailed   = Event{2004, "dispatch-failed", log.WarnLevel, "target aborted a request"}
-	RequestServed    = Event{2005, "request-served", log.InfoLevel, "request completed with the response of a target"}
-	RequestUnserved  = Event{2006, "request-unserved", log.WarnLevel, "request ended without the response of a target"}
-	AttemptFailed    = Event{2007, "attempt-failed", log.WarnLevel, "attempt ended without a response"}
-	CallUnserved     = Event{2008, "call-unserved", log.WarnLevel, "call ended at the target's node without a response of the target"}
+	BadRequest         = Event{2001, "bad-request", log.WarnLevel, "request refused for bad input"}
+	LateResponse       = Event{2002, "late-answer", log.WarnLevel, "response of another attempt discarded"}
+	ResponseIncomplete = Event{2003, "answer-incomplete", log.WarnLevel, "response truncated"}
+	DispatchFailed     = Event{2004, "dispatch-failed", log.WarnLevel, "target aborted a request"}
+	RequestServed      = Event{2005, "request-served", log.InfoLevel, "request completed with the response of a target"}
+	RequestUnserved    = Event{2006, "request-unserved", log.WarnLevel, "request ended without the response of a target"}
+	AttemptFailed      = Event{2007, "attempt-failed", log.WarnLevel, "attempt ended without a response"}
+	CallUnserved       = Event{2008, "call-unserved", log.WarnLevel, "call ended at the target's node without a response of the target"}
 )
 
 // Events of targets.
 var (
-	TargetAnnounced    = Event{3001, "target-announced", log.InfoLevel, "target announced itself"}
-	TargetLeaving      = Event{3002, "target-leaving", log.InfoLevel, "target is leaving"}
-	TargetExpired      = Event{3003, "target-expired", log.WarnLevel, "target stopped renewing its announcement"}
-	TargetRefused      = Event{3004, "target-refused", log.WarnLevel, "announcement of a target refused"}
-	TargetCrashed      = Event{3005, "target-crashed", log.ErrorLevel, "target crashed with requests in flight"}
-	TargetSilent       = Event{3007, "target-silent", log.WarnLevel, "target is unresponsive and accepts no connection"}
-	TargetAnswers      = Event{3008, "target-answers", log.WarnLevel, "unresponsive target accepts connections again"}
-	RequestQuarantined = Event{3006, "request-quarantined", log.ErrorLevel, "request quarantined for crashing targets"}
+	TargetAnnounced     = Event{3001, "target-announced", log.InfoLevel, "target announced itself"}
+	TargetLeaving       = Event{3002, "target-leaving", log.InfoLevel, "target is leaving"}
+	TargetExpired       = Event{3003, "target-expired", log.WarnLevel, "target stopped renewing its announcement"}
+	AnnouncementRefused = Event{3004, "target-refused", log.WarnLevel, "announcement of a target refused"}
+	TargetCrashed       = Event{3005, "target-crashed", log.ErrorLevel, "target crashed with requests in flight"}
+	TargetUnresponsive  = Event{3007, "target-silent", log.WarnLevel, "target is unresponsive and accepts no connection"}
+	TargetResponsive    = Event{3008, "target-answers", log.WarnLevel, "unresponsive target accepts connections again"}
+	RequestQuarantined  = Event{3006, "request-quarantined", log.ErrorLevel, "request quarantined for crashing targets"}
 )
 
 // Events of configuration and the platform's log.
@@ -72,7 +72,7 @@
 // Events of membership and ownership of keys.
 var (
 	MemberDown        = Event{5001, "member-down", log.WarnLevel, "node declared down"}
-	MemberJoined      = Event{5002, "member-joined", log.DebugLevel, "member entry changed"}
+	MemberChanged     = Event{5002, "member-joined", log.DebugLevel, "member entry changed"}
 	DownRefuted       = Event{5003, "down-refuted", log.WarnLevel, "node refuted a report that it is down"}
 	OwnershipTaken    = Event{5004, "ownership-taken", log.InfoLevel, "node owns keys of its services"}
 	OwnershipEnded    = Event{5005, "ownership-ended", log.InfoLevel, "node released the ownership of its keys"}
@@ -80,21 +80,21 @@
 	HandOverFailed    = Event{5007, "hand-over-failed", log.ErrorLevel, "records of keys couldn't be handed over"}
 	IncarnationRaised = Event{5008, "incarnation-raised", log.WarnLevel, "incarnation raised"}
 
-	NodeSilent           = Event{5010, "node-silent", log.WarnLevel, "node is unresponsive and accepts no connection"}
-	NodeAnswers          = Event{5011, "node-answers", log.WarnLevel, "unresponsive node accepts connections again"}
+	NodeUnresponsive     = Event{5010, "node-silent", log.WarnLevel, "node is unresponsive and accepts no connection"}
+	NodeResponsive       = Event{5011, "node-answers", log.WarnLevel, "unresponsive node accepts connections again"}
 	DirectoryUnavailable = Event{5009, "directory-unavailable", log.WarnLevel, "directory of nodes can't be read or written"}
 )
 
 // Catalogue lists all events.
 var Catalogue = []Event{
-	NodeStarted, NodeStopping, NodeStopped, StopCutRequests, ListenFailed, PauseNoticed, SettingsReloaded, SettingsRefused,
-	BadRequest, LateAnswer, AnswerIncomplete, DispatchFailed,
+	NodeStarted, NodeStopping, NodeStopped, StopTimedOut, ListenFailed, PauseNoticed, SettingsReloaded, SettingsRefused,
+	BadRequest, LateResponse, ResponseIncomplete, DispatchFailed,
 	RequestServed, RequestUnserved, AttemptFailed, CallUnserved,
-	TargetAnnounced, TargetLeaving, TargetExpired, TargetRefused, TargetCrashed, TargetSilent, TargetAnswers, RequestQuarantined,
+	TargetAnnounced, TargetLeaving, TargetExpired, AnnouncementRefused, TargetCrashed, TargetUnresponsive, TargetResponsive, RequestQuarantined,
 	ConfigAdvanced, LogUnavailable, LogAvailable, RecordsExpired,
 	SnapshotWritten, SnapshotAdopted, AppendUncertain, SnapshotRefused, AuditUnavailable, ConfigRefused,
-	MemberDown, MemberJoined, DownRefuted, OwnershipTaken, OwnershipEnded, KeysHandedOver, HandOverFailed, IncarnationRaised,
-	DirectoryUnavailable, NodeSilent, NodeAnswers,
+	MemberDown, MemberChanged, DownRefuted, OwnershipTaken, OwnershipEnded, KeysHandedOver, HandOverFailed, IncarnationRaised,
+	DirectoryUnavailable, NodeUnresponsive, NodeResponsive,
 }
 
 // Log writes events to a logger. The zero Log writes nothing.
--- a/wharfnode/wharfevents/cause_test.go
+++ b/wharfnode/wharfevents/cause_test.go
@@ -9,9 +9,9 @@
 	"github.com/samber/oops"
 )
 
-// TestCauseSaysCodeAndDetailsOnly guards against log lines that carry a source
+// TestErrorFieldHasCodeAndDetails guards against log lines that carry a source
 // location or lack the code or details of an error.
-func TestCauseSaysCodeAndDetailsOnly(t *testing.T) {
+func TestErrorFieldHasCodeAndDetails(t *testing.T) {
 	is := is.New(t)
 	is.Equal(ErrorField(errors.New("no room")).Value, "no room")
 	err := oops.Code("store-unanswered").With("status", 503).With("cause", "timeout").Errorf("log unavailable")
--- a/wharfnode/wharfserver/admin_test.go
+++ b/wharfnode/wharfserver/admin_test.go
@@ -94,7 +94,7 @@
 	announced := make(chan struct{})
 	go func() {
 		defer close(announced)
-		n.Renew(wharfmember.Target{Service: "reads", Address: "127.0.0.1:1", Slots: 1})
+		n.AnnounceTarget(wharfmember.Target{Service: "reads", Address: "127.0.0.1:1", Slots: 1})
 	}()
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error)
--- a/wharfnode/wharfserver/announce.go
+++ b/wharfnode/wharfserver/announce.go
@@ -7,10 +7,10 @@
 	"ragwortwharf.dev/wharfnode/wharfevents"
 )
 
-// Renew processes the announcement of a target. It logs the announcement and
+// AnnounceTarget processes the announcement of a target. It logs the announcement and
 // announces the target to the other nodes if the announcement changes anything.
-func (n *Node) Renew(t wharfmember.Target) {
-	if !n.registry.Renew(time.Now(), t) {
+func (n *Node) AnnounceTarget(t wharfmember.Target) {
+	if !n.registry.Announce(time.Now(), t) {
 		return
 	}
 	n.log.Emit(wharfevents.TargetAnnounced,
@@ -21,9 +21,9 @@
 	n.agent.Announce()
 }
 
-// Leave stops the dispatch of new requests to a target. It reports whether the
-// target is known.
-func (n *Node) Leave(address string) bool {
+// SetTargetLeaving stops the dispatch of new requests to a target. It reports
+// whether the target is known.
+func (n *Node) SetTargetLeaving(address string) bool {
 	if !n.registry.Leave(address) {
 		return false
 	}
--- a/wharfnode/wharfserver/chain_test.go
+++ b/wharfnode/wharfserver/chain_test.go
@@ -80,7 +80,7 @@
 	cancelRunning()
 	wharftest.Eventually(t, "the running requests are cancelled", func() bool { return cancelled.Load() == running })
 	wharftest.Eventually(t, "no request is left", func() bool {
-		return n.target.Calls() == 0 && status().Running == 0 && status().Queued == 0
+		return n.target.CallsInFlight() == 0 && status().Running == 0 && status().Queued == 0
 	})
 	is.Equal(arrivals.Load(), int32(running))
 }
--- a/wharfnode/wharfserver/crash_test.go
+++ b/wharfnode/wharfserver/crash_test.go
@@ -68,7 +68,7 @@
 	calls := func() int {
 		n := 0
 		for _, node := range c.nodes {
-			n += node.target.Calls()
+			n += node.target.CallsInFlight()
 		}
 		return n
 	}
--- a/wharfnode/wharfserver/harness_test.go
+++ b/wharfnode/wharfserver/harness_test.go
@@ -27,7 +27,7 @@
 )
 
 // ports allocates the addresses of this package's tests.
-var ports = wharftest.Ports{First: 11000}
+var ports = wharftest.Ports{Base: 11000}
 
 // faultyLog is an in-memory log with injected faults.
 type faultyLog struct {
@@ -77,7 +77,7 @@
 	}
 	data, err := wharfstate.Envelope{Change: &change}.Encode()
 	if err == nil {
-		_, err = f.Memory.Append(context.Background(), wharfstate.Stream, data)
+		_, err = f.Memory.Append(context.Background(), wharfstate.StateStream, data)
 	}
 	if err != nil {
 		t.Fatal(err)
@@ -312,5 +312,5 @@
 
 // expireBefore deletes the records before an offset, as retention does.
 func (f *faultyLog) expireBefore(offset uint64) {
-	f.DropBefore(wharfstate.Stream, offset)
+	f.DropBefore(wharfstate.StateStream, offset)
 }
--- a/wharfnode/wharfserver/late_test.go
+++ b/wharfnode/wharfserver/late_test.go
@@ -17,7 +17,7 @@
 // wrongAttemptNode sends the response of another attempt before the right one.
 type wrongAttemptNode struct{}
 
-func (wrongAttemptNode) Call(stream wharftransport.Stream) error {
+func (wrongAttemptNode) Call(stream wharftransport.ServerStream) error {
 	frame, err := stream.Recv()
 	if err != nil {
 		return err
--- a/wharfnode/wharfserver/node.go
+++ b/wharfnode/wharfserver/node.go
@@ -126,9 +126,9 @@
 	n.registry = registry
 	ledger, quarantine, keys := &wharfbudget.Ledger{}, &wharfquarantine.List{}, &wharfidempotency.KeyStore{}
 	n.agent = &wharfcluster.Agent{
-		View: n.view, Peers: n.peers, Platform: options.Log,
+		View: n.view, Peers: n.peers, LogClient: options.Log,
 		Registry: registry, Quarantine: quarantine, Keys: keys, Directory: options.Directory,
-		OwnsKeys: !options.WithoutKeys, Readers: options.Readers, PollWait: options.PollWait,
+		OwnsKeys: !options.NoCallerKeys, Readers: options.Readers, PollWait: options.PollWait,
 		SnapshotInterval: settings.SnapshotInterval, TargetTimeout: settings.TargetTimeout,
 		Log: log, Metrics: metrics,
 	}
@@ -136,7 +136,7 @@
 	backpressure := &wharftarget.BackpressureGuard{Enabled: settings.Backpressure}
 	n.target = &wharftarget.Server{
 		View: n.view, Registry: registry, Backpressure: backpressure, Ledger: ledger, Quarantine: quarantine, Keys: keys,
-		Consulter: n.agent, Broadcaster: n.agent, Auditor: n.agent, Protocol: options.Protocol, RefusesAfterCrash: options.RefusesAfterCrash,
+		Consulter: n.agent, Broadcaster: n.agent, Auditor: n.agent, Protocol: options.Protocol, CrashedRefusesConnections: options.CrashedRefusesConnections,
 		Log: log, Metrics: metrics,
 	}
 	n.transport = &wharftransport.Client{SelfAddress: settings.Advertise, Receiver: n.target, Log: log}
@@ -146,7 +146,7 @@
 	}
 	api := &wharfadmin.API{
 		View: n.view, Registry: registry, Proxy: n.proxy, Ledger: ledger, Keys: keys, Quarantine: quarantine,
-		Targets: n, Auditor: n.agent, Log: log, Metrics: metrics,
+		Registrar: n, Auditor: n.agent, Log: log, Metrics: metrics,
 	}
 	n.caller = newHTTPServer(n.proxy)
 	n.admin = newHTTPServer(api.Handler())
@@ -163,7 +163,7 @@
 	metrics.Gauge("wharf_state_offset", func() float64 { return float64(n.view.State().Offset()) })
 	metrics.Gauge("wharf_keys", func() float64 { return float64(keys.Len()) })
 	metrics.Gauge("wharf_key_bytes", func() float64 { return float64(keys.Bytes()) })
-	metrics.Gauge("wharf_calls_in_flight", func() float64 { return float64(n.proxy.Calls()) })
+	metrics.Gauge("wharf_calls_in_flight", func() float64 { return float64(n.proxy.InFlight()) })
 	if n.log.Dropped != nil {
 		metrics.Gauge("wharf_log_lines_dropped", func() float64 { return float64(n.log.Dropped()) })
 	}
--- a/wharfnode/wharfserver/once_test.go
+++ b/wharfnode/wharfserver/once_test.go
@@ -57,7 +57,7 @@
 	for range sends {
 		go func() { replies <- n.send(request{method: "POST", service: "bookings", key: "k"}) }()
 	}
-	wharftest.Eventually(t, "all sends are in flight", func() bool { return n.target.Calls() == sends })
+	wharftest.Eventually(t, "all sends are in flight", func() bool { return n.target.CallsInFlight() == sends })
 	close(release)
 	for range sends {
 		got := <-replies
--- a/wharfnode/wharfserver/options.go
+++ b/wharfnode/wharfserver/options.go
@@ -22,8 +22,8 @@
 type Directory interface {
 	// Seeds returns the addresses of nodes to join.
 	Seeds(ctx context.Context) ([]string, error)
-	// Enter writes the entry of this node.
-	Enter(ctx context.Context, self wharfmember.Member) error
+	// Register writes the entry of this node.
+	Register(ctx context.Context, self wharfmember.Member) error
 	// Remove deletes the entry of a node that has left or failed.
 	Remove(ctx context.Context, departed wharfmember.Member) error
 }
@@ -39,14 +39,14 @@
 	// Directory lists the nodes to join. The default returns the seeds of the
 	// settings.
 	Directory Directory
-	// WithoutKeys is true if callers send no idempotency keys. The node then
+	// NoCallerKeys is true if callers send no idempotency keys. The node then
 	// needs no ownership records.
-	WithoutKeys bool
-	// RefusesAfterCrash is true if a crashed target refuses connections for a
+	NoCallerKeys bool
+	// CrashedRefusesConnections is true if a crashed target refuses connections for a
 	// while. If such a target accepts a new connection after a request has
 	// failed, the node doesn't record a crash, because only the response was
 	// lost.
-	RefusesAfterCrash bool
+	CrashedRefusesConnections bool
 	// Readers is the number of nodes of a failure domain that read the log. The
 	// other nodes get its records by gossip. Zero means defaultReaders.
 	Readers int
@@ -93,9 +93,9 @@
 	return s, nil
 }
 
-// Enter does nothing, because the node announces itself to the seeds when it
+// Register does nothing, because the node announces itself to the seeds when it
 // joins.
-func (s seedDirectory) Enter(context.Context, wharfmember.Member) error {
+func (s seedDirectory) Register(context.Context, wharfmember.Member) error {
 	return nil
 }
 
--- a/wharfnode/wharfserver/stop.go
+++ b/wharfnode/wharfserver/stop.go
@@ -25,7 +25,7 @@
 	n.target.SetLeaving()
 	n.agent.UpdateSelf(func(m wharfmember.Member) wharfmember.Member { return m.WithState(wharfmember.Leaving) })
 	n.drain(ctx)
-	if !n.options.WithoutKeys {
+	if !n.options.NoCallerKeys {
 		if err := n.releaseOwnership(ctx); err != nil {
 			n.log.Emit(wharfevents.HandOverFailed, wharfevents.ErrorField(err))
 		}
@@ -54,7 +54,7 @@
 func (n *Node) drain(ctx context.Context) {
 	ticker := time.NewTicker(drainPoll)
 	defer ticker.Stop()
-	for n.target.Calls() > 0 {
+	for n.target.CallsInFlight() > 0 {
 		select {
 		case <-ticker.C:
 		case <-ctx.Done():
@@ -82,7 +82,7 @@
 // field "served" counts those of the node's targets, and "calls" those of its
 // callers.
 func (n *Node) logAbortedRequests() {
-	n.log.Emit(wharfevents.StopCutRequests,
-		wharfevents.Field{Name: "served", Value: n.target.Calls()},
-		wharfevents.Field{Name: "calls", Value: n.proxy.Calls()})
+	n.log.Emit(wharfevents.StopTimedOut,
+		wharfevents.Field{Name: "served", Value: n.target.CallsInFlight()},
+		wharfevents.Field{Name: "calls", Value: n.proxy.InFlight()})
 }
--- a/wharfnode/wharfserver/trouble_test.go
+++ b/wharfnode/wharfserver/trouble_test.go
@@ -184,7 +184,7 @@
 	for range calls {
 		go func() { replies <- first.send(request{service: "reads"}) }()
 	}
-	wharftest.Eventually(t, "calls are in flight", func() bool { return first.proxy.Calls() == calls })
+	wharftest.Eventually(t, "calls are in flight", func() bool { return first.proxy.InFlight() == calls })
 	first.stop() // the callers are connected to this node
 	for range calls {
 		is.Equal((<-replies).body, "hello")
@@ -316,7 +316,7 @@
 	for i := range highs {
 		go func() { high <- n.send(request{service: "work", path: fmt.Sprint(i)}) }()
 	}
-	wharftest.Eventually(t, "requests of the high class are in flight", func() bool { return n.proxy.Calls() >= highs })
+	wharftest.Eventually(t, "requests of the high class are in flight", func() bool { return n.proxy.InFlight() >= highs })
 	close(release)
 	for range highs {
 		is.Equal((<-high).status, 200)
--- a/wharfnode/wharfsettings/settings.go
+++ b/wharfnode/wharfsettings/settings.go
@@ -71,24 +71,24 @@
 // Check returns all issues of the settings.
 func (s *Settings) Check() wharfcli.Issues {
 	var issues wharfcli.Issues
-	issues.Address("caller-listen", s.CallerListen)
-	issues.Address("node-listen", s.NodeListen)
-	issues.Address("admin-listen", s.AdminListen)
+	issues.CheckAddress("caller-listen", s.CallerListen)
+	issues.CheckAddress("node-listen", s.NodeListen)
+	issues.CheckAddress("admin-listen", s.AdminListen)
 	if s.Advertise != "" {
-		issues.Address("advertise", s.Advertise)
+		issues.CheckAddress("advertise", s.Advertise)
 	} else if a, err := netip.ParseAddrPort(s.NodeListen); err == nil && a.Addr().IsUnspecified() {
 		issues.Add("advertise", "is needed, because --node-listen is an unspecified address")
 	}
-	issues.Name("failure-domain", s.FailureDomain)
-	issues.Name("region", s.Region)
-	issues.URL("log-url", s.LogURL)
+	issues.CheckName("failure-domain", s.FailureDomain)
+	issues.CheckName("region", s.Region)
+	issues.CheckURL("log-url", s.LogURL)
 	for _, seed := range s.Seeds {
-		issues.Address("seeds", seed)
+		issues.CheckAddress("seeds", seed)
 	}
-	issues.AtLeast("stop-timeout", s.StopTimeout, time.Second)
-	issues.AtLeast("snapshot-interval", s.SnapshotInterval, time.Second)
-	issues.AtLeast("target-timeout", s.TargetTimeout, time.Second)
-	issues.AtLeast("repeat-window", s.RepeatWindow, time.Second)
+	issues.CheckAtLeast("stop-timeout", s.StopTimeout, time.Second)
+	issues.CheckAtLeast("snapshot-interval", s.SnapshotInterval, time.Second)
+	issues.CheckAtLeast("target-timeout", s.TargetTimeout, time.Second)
+	issues.CheckAtLeast("repeat-window", s.RepeatWindow, time.Second)
 	if s.RepeatRatio < 0 || s.RepeatRatio > 1 {
 		issues.Add("repeat-ratio", "must be from 0 to 1")
 	}
--- a/wharfstandin/internal/wharfload/plan.go
+++ b/wharfstandin/internal/wharfload/plan.go
@@ -71,10 +71,10 @@
 // Plan describes a run.
 type Plan struct {
 	Name string
-	// Entries lists the caller URLs of the nodes, which are used in rotation.
-	Entries []string
-	Service string
-	Classes []Class
+	// CallerURLs lists the caller URLs of the nodes, which are used in rotation.
+	CallerURLs []string
+	Service    string
+	Classes    []Class
 	// Rate is the number of user requests per second. A user request is one
 	// request of a user, however often the caller sends it.
 	Rate     float64
@@ -83,8 +83,8 @@
 	Timeout time.Duration
 	// Resends is the maximum number of resends of a failed user request.
 	Resends int
-	// Polite makes callers wait for the retry-after hint before they resend.
-	Polite bool
+	// HonorRetryAfter makes callers wait for the retry-after hint before they resend.
+	HonorRetryAfter bool
 	// Keys gives each user request other than a GET an idempotency key.
 	Keys       bool
 	Disruption Disruption
--- a/wharfstandin/internal/wharfload/report.go
+++ b/wharfstandin/internal/wharfload/report.go
@@ -57,11 +57,11 @@
 	// requests were already in flight.
 	Dropped int `json:"dropped-by-generator"`
 	// Reasons counts the failed user requests by reason, most frequent first.
-	Reasons []Count `json:"failures-by-reason"`
+	Reasons []ReasonCount `json:"failures-by-reason"`
 }
 
-// Count is the number of failed user requests with one reason.
-type Count struct {
+// ReasonCount is the number of failed user requests with one reason.
+type ReasonCount struct {
 	Name  string `json:"name"`
 	Count int    `json:"count"`
 }
@@ -130,7 +130,7 @@
 			r.count(x.reason)
 		}
 	}
-	slices.SortFunc(r.Reasons, func(a, b Count) int { return cmp.Compare(b.Count, a.Count) })
+	slices.SortFunc(r.Reasons, func(a, b ReasonCount) int { return cmp.Compare(b.Count, a.Count) })
 	n := float64(max(len(g.results), 1))
 	r.SendsPerRequest = float64(sends) / n
 	r.AttemptsPerRequest = float64(arrivals) / n
@@ -153,7 +153,7 @@
 			return
 		}
 	}
-	r.Reasons = append(r.Reasons, Count{reason, 1})
+	r.Reasons = append(r.Reasons, ReasonCount{reason, 1})
 }
 
 // classReport evaluates the results for which belongs returns true.
--- a/wharfstandin/internal/wharfload/request.go
+++ b/wharfstandin/internal/wharfload/request.go
@@ -87,7 +87,7 @@
 func (u *userRequest) newRequest(ctx context.Context, n int) *http.Request {
 	g := u.generator
 	c := g.plan.Classes[u.class]
-	callerURL := g.plan.Entries[(u.number+n)%len(g.plan.Entries)]
+	callerURL := g.plan.CallerURLs[(u.number+n)%len(g.plan.CallerURLs)]
 	req, err := http.NewRequestWithContext(ctx, c.Method, callerURL+c.Path, bytes.NewReader(make([]byte, c.Bytes)))
 	if err != nil {
 		req = (&http.Request{Method: c.Method, Header: http.Header{}}).WithContext(ctx)
@@ -107,7 +107,7 @@
 // else defaultResendDelay.
 func (u *userRequest) resendDelay(response *http.Response) time.Duration {
 	ms, err := strconv.Atoi(response.Header.Get(wharfwire.HeaderRetryAfterMs))
-	if !u.generator.plan.Polite || err != nil {
+	if !u.generator.plan.HonorRetryAfter || err != nil {
 		return defaultResendDelay
 	}
 	return time.Duration(ms) * time.Millisecond
--- a/wharfstandin/internal/wharflogservice/service.go
+++ b/wharfstandin/internal/wharflogservice/service.go
@@ -17,9 +17,9 @@
 	Down bool `json:"down"`
 	// SlowMs is the delay of every call, in milliseconds.
 	SlowMs int `json:"slow-ms"`
-	// LoseAnswers is the number of further appends that take effect but get no
+	// LoseResponses is the number of further appends that take effect but get no
 	// response.
-	LoseAnswers int `json:"lose-answers"`
+	LoseResponses int `json:"lose-answers"`
 }
 
 // Service is a log in memory with injected faults and a token bucket that
@@ -116,13 +116,13 @@
 }
 
 // losesResponse reports whether the response to an append is lost, and counts it
-// in LoseAnswers.
+// in LoseResponses.
 func (s *Service) losesResponse() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.faults.LoseAnswers == 0 {
+	if s.faults.LoseResponses == 0 {
 		return false
 	}
-	s.faults.LoseAnswers--
+	s.faults.LoseResponses--
 	return true
 }
--- a/wharfstandin/internal/wharfpropagation/propagation.go
+++ b/wharfstandin/internal/wharfpropagation/propagation.go
@@ -54,7 +54,7 @@
 		if err != nil {
 			return report, err
 		}
-		offset, err := logClient.Append(ctx, wharfstate.Stream, data)
+		offset, err := logClient.Append(ctx, wharfstate.StateStream, data)
 		if err != nil {
 			return report, err
 		}
--- a/wharfstandin/internal/wharftargetservice/target.go
+++ b/wharfstandin/internal/wharftargetservice/target.go
@@ -65,9 +65,9 @@
 	// ShedAt is the number of waiting requests above which the target refuses a
 	// request; 0 means that it never does.
 	ShedAt int
-	// Calls lists the services that the target calls one after the other for
-	// each request.
-	Calls []string
+	// DownstreamServices lists the services that the target calls one after the
+	// other for each request.
+	DownstreamServices []string
 	// CallPath is the path of these calls.
 	CallPath string
 	// NodeAdmin and NodeCaller are the admin URL and the caller URL of the node
@@ -89,8 +89,8 @@
 	// AnnouncedSlots is the number of slots that the target announces from now
 	// on. Its JSON name stays for existing clients.
 	AnnouncedSlots *int `json:"false-slots,omitempty"`
-	// Silent stops the announcements, or resumes them if false.
-	Silent *bool `json:"silent,omitempty"`
+	// PauseAnnouncements stops the announcements, or resumes them if false.
+	PauseAnnouncements *bool `json:"silent,omitempty"`
 }
 
 // Stats are the counters of the target.
@@ -227,8 +227,8 @@
 	if c.AnnouncedSlots != nil {
 		t.announcedSlots = *c.AnnouncedSlots
 	}
-	if c.Silent != nil {
-		t.silent = *c.Silent
+	if c.PauseAnnouncements != nil {
+		t.silent = *c.PauseAnnouncements
 	}
 	w.WriteHeader(http.StatusNoContent)
 }
@@ -314,12 +314,12 @@
 	t.effects[key]++
 }
 
-// callDownstream calls the services in Config.Calls one after the other and
-// reports whether all calls succeeded. After a failed call it writes the
+// callDownstream calls the services in Config.DownstreamServices one after the
+// other and reports whether all calls succeeded. After a failed call it writes the
 // response: the request has had no effect at this target yet, so the target can
 // forward the outcome of that call.
 func (t *Target) callDownstream(w http.ResponseWriter, r *http.Request) bool {
-	for _, service := range t.cfg.Calls {
+	for _, service := range t.cfg.DownstreamServices {
 		if !t.callService(w, r, service) {
 			return false
 		}
--- a/wharfstandin/load.go
+++ b/wharfstandin/load.go
@@ -39,7 +39,7 @@
 func (c *loadCommand) Run(ctx context.Context) error {
 	var issues wharfcli.Issues
 	for _, e := range c.Entries {
-		issues.URL("entries", e)
+		issues.CheckURL("entries", e)
 	}
 	classes, err := wharfload.ParseClasses(c.Classes)
 	if err != nil {
@@ -48,13 +48,13 @@
 	if c.Rate <= 0 {
 		issues.Add("rate", "%v is not above 0", c.Rate)
 	}
-	issues.AtLeast("duration", c.Duration, time.Second)
+	issues.CheckAtLeast("duration", c.Duration, time.Second)
 	if len(issues) > 0 {
 		return wharfcli.ExitError{Code: wharfcli.ExitUsage, Err: issues}
 	}
 	plan := wharfload.Plan{
-		Name: c.Name, Entries: c.Entries, Service: c.Service, Classes: classes, Rate: c.Rate, Duration: c.Duration,
-		Timeout: c.Timeout, Resends: c.Resends, Polite: c.Polite, Keys: c.Keys,
+		Name: c.Name, CallerURLs: c.Entries, Service: c.Service, Classes: classes, Rate: c.Rate, Duration: c.Duration,
+		Timeout: c.Timeout, Resends: c.Resends, HonorRetryAfter: c.Polite, Keys: c.Keys,
 		Disruption: wharfload.Disruption{
 			At: c.TroubleAt, For: c.TroubleFor, Surge: c.Surge,
 			Slow: c.Slow, SlowFromMs: c.SlowFrom, SlowToMs: c.SlowTo, Capacity: c.Capacity,
--- a/wharfstandin/log.go
+++ b/wharfstandin/log.go
@@ -19,8 +19,8 @@
 // Run serves until the context ends.
 func (c *logCommand) Run(ctx context.Context) error {
 	var issues wharfcli.Issues
-	issues.Address("listen", c.Listen)
-	issues.AtLeast("retention", c.Retention, time.Second)
+	issues.CheckAddress("listen", c.Listen)
+	issues.CheckAtLeast("retention", c.Retention, time.Second)
 	if len(issues) > 0 {
 		return wharfcli.ExitError{Code: wharfcli.ExitUsage, Err: issues}
 	}
--- a/wharfstandin/propagation.go
+++ b/wharfstandin/propagation.go
@@ -22,9 +22,9 @@
 // Run publishes changes one by one and prints the median and the longest time.
 func (c *spreadCommand) Run(ctx context.Context) error {
 	var issues wharfcli.Issues
-	issues.URL("log-url", c.LogURL)
+	issues.CheckURL("log-url", c.LogURL)
 	for _, n := range c.Nodes {
-		issues.URL("nodes", n)
+		issues.CheckURL("nodes", n)
 	}
 	if len(issues) > 0 {
 		return wharfcli.ExitError{Code: wharfcli.ExitUsage, Err: issues}
--- a/wharfstandin/target.go
+++ b/wharfstandin/target.go
@@ -30,9 +30,9 @@
 // server shuts down.
 func (c *targetCommand) Run(ctx context.Context) error {
 	var issues wharfcli.Issues
-	issues.Address("listen", c.Listen)
-	issues.URL("node-admin", c.NodeAdmin)
-	issues.URL("node-caller", c.NodeCaller)
+	issues.CheckAddress("listen", c.Listen)
+	issues.CheckURL("node-admin", c.NodeAdmin)
+	issues.CheckURL("node-caller", c.NodeCaller)
 	if c.Slots < 1 {
 		issues.Add("slots", "%d is less than 1", c.Slots)
 	}
@@ -45,7 +45,7 @@
 	t := wharftargetservice.New(wharftargetservice.Config{
 		Service: c.Service, Address: c.Listen, Slots: c.Slots, AnnouncedSlots: c.Announce,
 		ServiceTime: c.ServiceTime, ColdStart: c.ColdStart, ShedAt: c.ShedAt,
-		Calls: c.Calls, CallPath: c.CallPath, NodeAdmin: c.NodeAdmin, NodeCaller: c.NodeCaller, Labels: c.Labels,
+		DownstreamServices: c.Calls, CallPath: c.CallPath, NodeAdmin: c.NodeAdmin, NodeCaller: c.NodeCaller, Labels: c.Labels,
 		IgnoreCancellation: c.Ignore,
 	})
 	serveCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
