--- a/wharf/wharfadmission/doc.go
+++ b/wharf/wharfadmission/doc.go
@@ -15,7 +15,6 @@
 // the same level decides alike. LevelOpen is the level that admits every request.
 // Senders apply the level of a target before any work is done for a request.
 //
-// The package does no I/O, reads no clock and starts no goroutines. The target
-// side of the node calls it under a lock and carries out the Effects that it
-// returns.
+// The package does no I/O and reads no clock. The target side of the node calls
+// it under a lock and carries out the Effects that it returns.
 package wharfadmission
--- a/wharf/wharfbudget/doc.go
+++ b/wharf/wharfbudget/doc.go
@@ -10,4 +10,6 @@
 // response returns nothing, so the number of all attempts never exceeds the grant
 // of the first hop. The node keeps grants in a Ledger and takes each attempt from
 // it.
+//
+// The package does no I/O and reads no clock.
 package wharfbudget
--- a/wharf/wharfconfig/classify.go
+++ b/wharf/wharfconfig/classify.go
@@ -87,8 +87,9 @@
 	return s.index().defaults.clockSkew
 }
 
-// OwnerStaleness returns how long an owner of idempotency keys may start requests
-// with a key after it last confirmed that it had read the whole log.
+// OwnerStaleness returns the largest age of an owner's last confirmation that it
+// had read the whole log. With an older confirmation the owner starts no requests
+// with a caller's idempotency key.
 func (s *Snapshot) OwnerStaleness() time.Duration {
 	return s.index().defaults.ownerStaleness
 }
--- a/wharf/wharfconfig/doc.go
+++ b/wharf/wharfconfig/doc.go
@@ -6,6 +6,6 @@
 // applies logged changes to an immutable Snapshot (change.go, snapshot.go), and
 // classifies requests and targets (classify.go, compile.go).
 //
-// The package does no I/O and reads no clock: the node, wharfctl and the tests
+// The package does no I/O and reads no clock. The node, wharfctl and the tests
 // pass the records in.
 package wharfconfig
--- a/wharf/wharfconfig/snapshot.go
+++ b/wharf/wharfconfig/snapshot.go
@@ -105,8 +105,9 @@
 }
 
 // WithChanges applies changes, which must be in log order, and returns the new
-// snapshot. It skips changes at or below the offset of the snapshot and
-// repeated appends of a change, so that the offset never decreases.
+// snapshot. It skips changes at or below the offset of the snapshot, so that the
+// offset never decreases. A repeated append of a change whose decision is still
+// kept only moves the offset.
 func (s *Snapshot) WithChanges(changes []LoggedChange) *Snapshot {
 	next := s.clone()
 	modified := false
--- a/wharf/wharfidempotency/keys.go
+++ b/wharf/wharfidempotency/keys.go
@@ -72,8 +72,8 @@
 	ClosedAt uint64
 }
 
-// KeyStore holds the key entries of one node. It keeps the entry of a request
-// that may have run until callers may no longer resend the key; when it is full,
+// KeyStore holds the key entries of one node. It keeps the entries of dispatched
+// and of closed keys until callers may no longer resend the key; when it is full,
 // it refuses new keys. It is safe for concurrent use. The zero KeyStore is empty.
 type KeyStore struct {
 	shards [keyShards]keyShard
--- a/wharf/wharfidempotency/table.go
+++ b/wharf/wharfidempotency/table.go
@@ -22,7 +22,7 @@
 	Release OwnershipKind = "release"
 	// HandedOver means that a released node has handed all its entries over.
 	HandedOver OwnershipKind = "handed-over"
-	// Evict ends the ownership of a node that no longer exists.
+	// Evict ends the ownership of a node that is permanently down.
 	Evict OwnershipKind = "evict"
 )
 
--- a/wharf/wharfmember/neighbours.go
+++ b/wharf/wharfmember/neighbours.go
@@ -10,9 +10,9 @@
 const ringNeighbours = 3
 
 // Monitored returns the nodes that self monitors: its successors on the ring of
-// node IDs of its own failure domain. The node exchanges entries with them in each
-// gossip round and reports those that are unresponsive. Nodes that are down or
-// have left are skipped.
+// node IDs of its own failure domain. In each gossip round the node exchanges
+// entries with one of them, in turn, and it reports those that are unresponsive.
+// Nodes that are down or have left are skipped.
 func (t *Table) Monitored(self string) []Member {
 	m, ok := t.members[self]
 	if !ok {
--- a/wharf/wharfquarantine/doc.go
+++ b/wharf/wharfquarantine/doc.go
@@ -8,5 +8,5 @@
 // was only in flight by coincidence. Every entry expires. Nodes exchange their
 // entries.
 //
-// The package does no I/O and reads no clock; the node passes in times and events.
+// The package does no I/O and reads no clock. The node passes in times and events.
 package wharfquarantine
--- a/wharf/wharfroute/route.go
+++ b/wharf/wharfroute/route.go
@@ -52,8 +52,9 @@
 	return false
 }
 
-// Limits bounds the size of callers' requests and the time that callers may take to
-// send them.
+// Limits holds the published limits on the size of callers' requests, the time to
+// send their headers, and the idle time of connections. They are stored with the
+// routes, but nodes don't apply them.
 type Limits struct {
 	HeaderBytes   int           `json:"header-bytes"`
 	BodyBytes     int64         `json:"body-bytes"`
--- a/wharf/wharfselector/doc.go
+++ b/wharf/wharfselector/doc.go
@@ -3,4 +3,6 @@
 //
 // It wraps the Kubernetes label library, so that the other packages depend only on
 // one small type. wharfconfig compiles the selectors of its rules with this package.
+//
+// The package does no I/O and reads no clock.
 package wharfselector
--- a/wharf/wharfstream/doc.go
+++ b/wharf/wharfstream/doc.go
@@ -4,6 +4,6 @@
 // The log is a service that stores streams of records in the order in which they
 // are appended. The offset of a record is its position in its stream.
 //
-// It does no I/O and reads no clock. wharflog implements the client; wharfstate
-// applies the records.
+// The package does no I/O and reads no clock. wharflog implements the client;
+// wharfstate applies the records.
 package wharfstream
--- a/wharf/wharfwire/headers.go
+++ b/wharf/wharfwire/headers.go
@@ -52,8 +52,9 @@
 	return out
 }
 
-// UnpackHeaders adds the end-to-end headers in the messages to headers. It
-// shares the value slices with the messages.
+// UnpackHeaders puts the headers of the messages into headers, without hop-by-hop
+// headers and those that each node sets itself. It replaces headers of the same
+// name and shares the value slices with the messages.
 func UnpackHeaders(headers http.Header, packed []*Header) {
 	for _, h := range packed {
 		name := http.CanonicalHeaderKey(h.GetName())
--- a/wharfnode/internal/wharfproxy/services.go
+++ b/wharfnode/internal/wharfproxy/services.go
@@ -83,8 +83,9 @@
 	s.balancer.Observe(time.Now(), address, route, result, latency, report)
 }
 
-// noAlternative reports whether no other target of the service would admit a
-// request that one target has refused for overload.
+// noAlternative reports whether no other target of the service is known to have
+// capacity for, or to queue less important requests than, a request that one target
+// has refused for overload.
 func (s *serviceState) noAlternative(q wharfrouting.Request) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/wharfnode/internal/wharftarget/response.go
+++ b/wharfnode/internal/wharftarget/response.go
@@ -129,7 +129,8 @@
 }
 
 // copy reads the body of a response and sends all frames but the last, which stays in
-// next. A body of at most ChunkSize bytes fits in one frame.
+// next. A body of known length up to ChunkSize is not sent in parts: it stays in
+// next, together with the head.
 func (p *pipe) copy(response *http.Response) error {
 	if response.ContentLength >= 0 && response.ContentLength <= wharfwire.ChunkSize {
 		return p.copyShort(response.Body, response.ContentLength)
