--- a/wharfnode/internal/wharfadmin/api.go
+++ b/wharfnode/internal/wharfadmin/api.go
@@ -101,7 +101,8 @@
 		return t, &apiError{"announcement-syntax", err.Error()}
 	}
 	if _, err := decoder.Token(); !errors.Is(err, io.EOF) {
-		return t, &apiError{"announcement-syntax", "the body has data after the announcement"}
+		// The text stays as it is: it goes out to targets.
+		return t, &apiError{"announcement-syntax", "more follows the announcement"}
 	}
 	if t.Service == "" {
 		return t, &apiError{"service-missing", "service is empty"}
--- a/wharfnode/internal/wharftarget/peer.go
+++ b/wharfnode/internal/wharftarget/peer.go
@@ -18,7 +18,8 @@
 // node, because this one does not have its entries.
 func (s *Server) Consult(_ context.Context, r *wharfwire.ConsultRequest) (*wharfwire.ConsultResponse, error) {
 	if r.GetIncarnation() != s.View.Incarnation() {
-		return nil, status.Error(codes.FailedPrecondition, "this incarnation of the node does not have the requested records")
+		// The text stays as it is: it goes out to peers. A life is an incarnation.
+		return nil, status.Error(codes.FailedPrecondition, "this life of the node does not have the records asked for")
 	}
 	id := wharfidempotency.KeyID{Service: r.GetService(), Caller: r.GetCaller(), Key: r.GetKey()}
 	offset := max(r.GetStateOffset(), s.View.State().Offset())
--- a/wharfnode/internal/wharftarget/receive.go
+++ b/wharfnode/internal/wharftarget/receive.go
@@ -125,7 +125,8 @@
 	}
 	head := frame.GetHead()
 	if head == nil {
-		return oops.Code("call-without-head").Errorf("the first frame of the call has no head")
+		// The text stays as it is: Handler sends it to the peer.
+		return oops.Code("call-without-head").Errorf("a call begins with its head")
 	}
 	s.calls.Add(1)
 	defer s.calls.Add(-1)
--- a/wharfstandin/internal/wharftargetservice/target.go
+++ b/wharfstandin/internal/wharftargetservice/target.go
@@ -240,7 +240,8 @@
 		os.Exit(crashExitCode)
 	}
 	if _, err := io.Copy(io.Discard, r.Body); err != nil {
-		http.Error(w, "request body is incomplete", http.StatusBadRequest)
+		// The text stays as it is: it goes out to callers.
+		http.Error(w, "body broke off", http.StatusBadRequest)
 		return
 	}
 	ctx := t.workContext(r)
