--- a/wharf/internal/wharfpurity/purity_test.go
+++ b/wharf/internal/wharfpurity/purity_test.go
@@ -18,8 +18,9 @@
 	"wharfidempotency", "wharfmember", "wharfquarantine", "wharfroute", "wharfstream", "wharfstate",
 }
 
-// allowedImports lists exceptions to forbiddenImports. Of these, only the packages
-// in statusCodeUsers may import net/http.
+// allowedImports lists packages that may be imported although a prefix in
+// forbiddenImports covers them. Only the packages in statusCodeUsers may import
+// net/http.
 var allowedImports = []string{"net/http", "net/netip"}
 
 // statusCodeUsers lists the packages that may import net/http, for the constants
--- a/wharf/wharfadmission/aimd.go
+++ b/wharf/wharfadmission/aimd.go
@@ -116,6 +116,8 @@
 // of the limit. It reports false for a clear rise: the congestion was still
 // growing, so the rise shows nothing about the decrease.
 func latencyUnchanged(before, after float64) bool {
+	// The part of the latency above the baseline is taken as time in the queue. It
+	// is expected to fall in proportion to the limit.
 	expectedFall := (before - 1) * (1 - decreaseFactor)
 	fall := before - after
 	return math.Abs(fall) < minFallShare*expectedFall
@@ -161,8 +163,9 @@
 	a.ratioAtDecrease = 0
 	a.lastRatio, a.unsteadyWindows = 0, 0
 	for rank := range a.baseline {
-		// The baseline rises only in resetBaseline. If it drifted towards the
-		// current latency, the limit would grow slowly while requests queue.
+		// The baseline rises only in resetBaseline. If it followed the current
+		// latency, latency with a queue would count as normal, and the limit would
+		// keep growing.
 		if mean, ok := a.window.mean(rank); ok {
 			a.baseline[rank] = min(a.baseline[rank], mean)
 		}
--- a/wharf/wharfconfig/classify.go
+++ b/wharf/wharfconfig/classify.go
@@ -20,6 +20,8 @@
 
 // Policy is the result of classifying a request.
 type Policy struct {
+	// Request is the name of the matching configuration document of kind request,
+	// or of the matching route. It is empty if none matched.
 	Request    string
 	Class      Class
 	Idempotent bool
@@ -87,9 +89,10 @@
 	return s.index().defaults.clockSkew
 }
 
-// OwnerStaleness returns the largest age of an owner's last confirmation that it
-// had read the whole log. With an older confirmation the owner starts no requests
-// with a caller's idempotency key.
+// OwnerStaleness returns the largest age of the last confirmation that the owner
+// of an idempotency key had read the whole log. The owner is the node that may run
+// requests with the key (see package wharfidempotency). With an older confirmation
+// the owner starts no requests with a caller's key.
 func (s *Snapshot) OwnerStaleness() time.Duration {
 	return s.index().defaults.ownerStaleness
 }
--- a/wharf/wharfidempotency/doc.go
+++ b/wharf/wharfidempotency/doc.go
@@ -8,6 +8,10 @@
 // an owner by rendezvous hashing over the nodes of a service, and keeps the previous
 // owners of the key.
 //
+// For a request that isn't idempotent and has no key from its caller, the nodes
+// generate a key for each attempt. The owner of a generated key is the node that the
+// attempt is sent to. An OwnershipTable isn't used for such a key.
+//
 // A KeyStore holds the entries of one node. A key starts as absent, becomes waiting
 // and then running, and ends as done or lost. Closing a key on a node forbids the
 // node to run the key unless it becomes the owner again later.
--- a/wharf/wharfidempotency/table_test.go
+++ b/wharf/wharfidempotency/table_test.go
@@ -50,7 +50,7 @@
 		key            string
 		owner          string
 		previousOwners int
-		recordsLost    bool
+		entriesLost    bool
 	}{
 		{"first owner", []OwnershipRecord{announced("a", 1)}, 0, moved, "a", 0, false},
 		{"second owner joins", []OwnershipRecord{announced("a", 1), announced("b", 1)}, 0, moved, "b", 1, false},
@@ -84,7 +84,7 @@
 			is.True(ok)
 			is.Equal(r.Owner.Node, tc.owner)
 			is.Equal(len(r.PreviousOwners), tc.previousOwners)
-			is.Equal(r.EntriesLost, tc.recordsLost)
+			is.Equal(r.EntriesLost, tc.entriesLost)
 		})
 	}
 }
@@ -99,7 +99,7 @@
 	for _, tc := range []struct {
 		name        string
 		after       time.Duration
-		recordsLost bool
+		entriesLost bool
 	}{
 		{"generated long after the restart", 10 * time.Second, false},
 		{"generated within the clock skew", time.Second, true},
@@ -107,7 +107,7 @@
 	} {
 		r, ok := table.Resolve(restart.Add(time.Minute), service, uuidAt(restart.Add(tc.after)), window)
 		is.True(ok)
-		is.Equal(r.EntriesLost, tc.recordsLost)
+		is.Equal(r.EntriesLost, tc.entriesLost)
 	}
 }
 
--- a/wharf/wharfrouting/losses_test.go
+++ b/wharf/wharfrouting/losses_test.go
@@ -48,8 +48,8 @@
 }
 
 // TestTargetThatLosesResponsesGetsLessLoad guards against a target that loses
-// responses but looks healthy otherwise: such a target is idle by its load, so it
-// would attract requests.
+// responses but looks healthy otherwise: the balancer sees such a target as idle and
+// would send it more requests than the others.
 func TestTargetThatLosesResponsesGetsLessLoad(t *testing.T) {
 	is := is.New(t)
 	b := newTestBalancer(4)
--- a/wharf/wharfstate/envelope.go
+++ b/wharf/wharfstate/envelope.go
@@ -26,7 +26,8 @@
 type Envelope struct {
 	Change    *wharfconfig.Change               `json:"change,omitempty"`
 	Ownership *wharfidempotency.OwnershipRecord `json:"home,omitempty"` // stored under its earlier name
-	Snapshot  []byte                            `json:"snapshot,omitempty"`
+	// Snapshot is a whole state in the form that State.Save returns.
+	Snapshot []byte `json:"snapshot,omitempty"`
 	// Routes is a complete set of routes. It replaces all earlier sets, so that
 	// missing route records before it have no effect.
 	Routes *wharfroute.Set `json:"routes,omitempty"`
--- a/wharf/wharfstate/state.go
+++ b/wharf/wharfstate/state.go
@@ -88,6 +88,7 @@
 		if r.Offset > a.offset+1 && (!s.onlyRoutes() || !hasRoutes(r)) {
 			break
 		}
+		// Skip a gap before a set of routes. Without a gap, the offset stays the same.
 		a.offset = max(a.offset, r.Offset-1)
 		if r.Offset == a.offset+1 {
 			a.add(r)
--- a/wharfnode/internal/wharfproxy/route.go
+++ b/wharfnode/internal/wharfproxy/route.go
@@ -38,7 +38,8 @@
 	return wharfoutcome.ReasonNone
 }
 
-// policyOf returns the policy of the requests of a route.
+// policyOf returns the policy of the requests of a route. If the route has no limit
+// of targets (MaxTargets is zero), the policy allows refusedTries attempts.
 func policyOf(r *wharfroute.Route) wharfconfig.Policy {
 	return wharfconfig.Policy{
 		Request:    r.Name,
--- a/wharfnode/internal/wharfproxy/services.go
+++ b/wharfnode/internal/wharfproxy/services.go
@@ -83,9 +83,9 @@
 	s.balancer.Observe(time.Now(), address, route, result, latency, report)
 }
 
-// noAlternative reports whether no other target of the service is known to have
-// capacity for, or to queue less important requests than, a request that one target
-// has refused for overload.
+// noAlternative reports whether a refusal for overload is final for a request. This
+// is so if no target that the request may still try is known to admit it and have
+// queue capacity left, or to queue a less important request.
 func (s *serviceState) noAlternative(q wharfrouting.Request) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/wharfnode/internal/wharftarget/doc.go
+++ b/wharfnode/internal/wharftarget/doc.go
@@ -10,8 +10,8 @@
 //
 //   - Gate and ticket (package wharfadmission): the gate of a target decides which
 //     calls run, wait or are refused. A ticket describes a call to the gate. A
-//     reserve is a share of the target's slots that is kept for a class and the more
-//     important ones.
+//     reserve is a share of the target's concurrency limit that is kept for a class
+//     and the more important ones.
 //   - Admission level (wharfadmission): calls that are less important than the level
 //     are refused. LevelOpen admits every call.
 //   - Grant and ledger (wharfbudget): the grant of a call is the number of attempts
--- a/wharfnode/internal/wharftarget/receive.go
+++ b/wharfnode/internal/wharftarget/receive.go
@@ -190,6 +190,7 @@
 			wharfevents.Field{Name: "running", Value: load.GetInFlight()},
 			wharfevents.Field{Name: "queued", Value: load.GetQueued()},
 			wharfevents.Field{Name: "limit", Value: load.GetLimit()},
+			// pressure-ms is the queue delay, which the load report calls pressure_ms.
 			wharfevents.Field{Name: "pressure-ms", Value: load.GetPressureMs()})
 	}
 	s.Log.Emit(wharfevents.CallUnserved, fields...)
--- a/wharfnode/internal/wharftransport/transport_test.go
+++ b/wharfnode/internal/wharftransport/transport_test.go
@@ -121,6 +121,8 @@
 	is.True(err != nil)
 	is.Equal(r.arrivals.Load(), int32(2))
 	broken.Store(false)
+	// A call fails without arriving if the HTTP transport uses a connection that was
+	// closed earlier, so repeat the call until it succeeds.
 	for err != nil {
 		_, err = call(&c, address)
 		is.True(r.arrivals.Load() <= 3)
