--- a/scripts/bench.sh
+++ b/scripts/bench.sh
@@ -68,6 +68,8 @@
     start_vm "$domain" middle --calls deep --slots 120 --service-time 2ms
     start_vm "$domain" deep --slots 10 --service-time 60ms
     slow+=("${target_urls[-1]}")
+    # No request is for the service spare. Its nodes only receive requests of
+    # callers and pass them on, as all nodes do.
     start_vm "$domain" spare --slots 10 --service-time 20ms
   done
   "$bin/wharfctl" publish --log-url "$log_url" --author bench "$(dirname "$0")/bench.yaml" >/dev/null
--- a/wharfctl/audit.go
+++ b/wharfctl/audit.go
@@ -79,7 +79,7 @@
 		if e.Ownership.Kind == wharfidempotency.Evict {
 			actor = e.Ownership.By + " evicted " + e.Ownership.Node
 		}
-		out = append(out, auditLine{r.Time, fmt.Sprintf("%s: ownership %s at offset %d", actor, e.Ownership.Kind, r.Offset)})
+		out = append(out, auditLine{r.Time, fmt.Sprintf("%s: ownership record %q at offset %d", actor, e.Ownership.Kind, r.Offset)})
 	}
 	return out
 }
--- a/wharfnode/internal/wharfadmin/api.go
+++ b/wharfnode/internal/wharfadmin/api.go
@@ -193,6 +193,8 @@
 	reply(w, http.StatusOK, Config{Offset: state.Offset(), Objects: state.Config().Objects()})
 }
 
+// audit serves the decisions on configuration changes. The actions of nodes are in
+// the audit stream of the log only.
 func (a *API) audit(w http.ResponseWriter, _ *http.Request) {
 	reply(w, http.StatusOK, a.View.Config().Decisions())
 }
--- a/wharfnode/internal/wharfadmin/explain.go
+++ b/wharfnode/internal/wharfadmin/explain.go
@@ -9,7 +9,9 @@
 // Explanation describes how the node would treat a request. Each rule field names
 // the configuration rule that decided a value; an empty one means the default.
 type Explanation struct {
-	Labels         string `json:"labels"`
+	Labels string `json:"labels"`
+	// Request is the name of the most specific configured request that matches, or
+	// empty.
 	Request        string `json:"request,omitempty"`
 	Class          string `json:"class"`
 	Rank           int    `json:"rank"`
--- a/wharfnode/internal/wharfadmin/quarantine.go
+++ b/wharfnode/internal/wharfadmin/quarantine.go
@@ -20,7 +20,10 @@
 
 // Crash is a target crash during which the request was in flight.
 type Crash struct {
-	Target      string `json:"target"`
+	// Target is the address of the target.
+	Target string `json:"target"`
+	// Incarnation is the incarnation of the node that detected the crash. Number
+	// counts the crashes of the target that this node has detected, from 1.
 	Incarnation uint64 `json:"incarnation"`
 	Number      int    `json:"number"`
 	// Cleared is whether the request has since completed without a crash. Its
--- a/wharfnode/internal/wharfcluster/audit.go
+++ b/wharfnode/internal/wharfcluster/audit.go
@@ -24,7 +24,8 @@
 	maxAuditAttempts = 10
 )
 
-// AuditEntry is an action of a node, in the form that the audit stream stores.
+// AuditEntry is an action of a node, in the form that the audit stream stores. The
+// JSON name act stays for existing clients, as do the log fields act and acts.
 type AuditEntry struct {
 	Time    time.Time     `json:"time"`
 	Node    string        `json:"node"`
--- a/wharfnode/internal/wharfcluster/exchange.go
+++ b/wharfnode/internal/wharfcluster/exchange.go
@@ -23,7 +23,8 @@
 	maxRecentBytes = 4 << 10
 	// maxRecentRecords bounds the number of recent records in one request.
 	maxRecentRecords = 8
-	// maxEntries bounds the member entries in one message.
+	// maxEntries is the number of member entries in a message from which on no
+	// further bucket is added.
 	maxEntries = 512
 	// joinEntries is about how many member entries a joining node gets from a
 	// seed. The joining node gets the other entries from these members.
@@ -32,7 +33,8 @@
 	maxSuspicions = 32
 )
 
-// request builds the first message of an exchange.
+// request builds the first message of an exchange, with the recent records after
+// the log offset since.
 func (a *Agent) request(since uint64) *wharfwire.ExchangeRequest {
 	now := time.Now()
 	r := &wharfwire.ExchangeRequest{
@@ -51,6 +53,7 @@
 			r.Members = append(r.Members, packMember(update.member))
 		}
 	}
+	// The wire name of a failure report is Accusation.
 	for _, report := range a.detector.ActiveReports(now) {
 		r.Accusations = append(r.Accusations, &wharfwire.Accusation{
 			Subject: report.Subject, Incarnation: report.Incarnation, Reporter: report.Reporter,
@@ -77,6 +80,7 @@
 	if confirmedAt.IsZero() {
 		return nil
 	}
+	// The age is rounded up, so that the reported age is never too low.
 	return &wharfwire.Freshness{Offset: a.View.State().Offset(), AgeMs: now.Sub(confirmedAt).Milliseconds() + 1}
 }
 
@@ -85,7 +89,8 @@
 }
 
 // syncRequest builds a request with the member entries in the buckets whose
-// digests differ from those of the peer.
+// digests differ from those of the peer. It begins at a random bucket, so that
+// the limit doesn't omit the same entries each time.
 func (a *Agent) syncRequest(peerDigests []uint64) *wharfwire.ExchangeRequest {
 	r := &wharfwire.ExchangeRequest{
 		From: a.View.Node(), Incarnation: a.View.Incarnation(), ConfigOffset: a.View.State().Offset(),
@@ -111,6 +116,7 @@
 	if r.GetConfigOffset() > a.View.State().Offset() {
 		a.TriggerRound()
 	}
+	// The wire name of a request to join is Introduction.
 	if r.GetIntroduction() {
 		return a.joinResponse(), nil
 	}
@@ -129,6 +135,8 @@
 func (a *Agent) joinResponse() *wharfwire.ExchangeResponse {
 	response := &wharfwire.ExchangeResponse{Members: []*wharfwire.Member{packMember(a.View.SelfMember())}}
 	a.View.Members(func(t *wharfmember.Table) {
+		// Every bucket with entries differs from an empty digest, so this picks
+		// the entries from a random bucket on.
 		some := t.Differing(&wharfmember.Digests{}, wharfrandom.New().IntN(wharfmember.Buckets), joinEntries)
 		response.Members = append(response.Members, packMembers(some)...)
 	})
@@ -150,7 +158,7 @@
 }
 
 // addMembers adds digests to a response if the member tables differ, and the
-// differing entries if the request also carries digests.
+// differing entries, from a random bucket on, if the request also carries digests.
 func (a *Agent) addMembers(response *wharfwire.ExchangeResponse, r *wharfwire.ExchangeRequest) {
 	a.View.Members(func(t *wharfmember.Table) {
 		response.MembersRoot = t.Digests().Root()
@@ -216,7 +224,8 @@
 	result := a.View.Merge(members)
 	for _, n := range result.Changed {
 		// The event is logged for every change, also when a node leaves or is
-		// declared down. Its outer name stays for existing clients.
+		// declared down. Its name in the log, member-joined, stays for existing
+		// clients.
 		a.Log.Emit(wharfevents.MemberChanged,
 			wharfevents.Field{Name: "node", Value: n.Node},
 			wharfevents.Field{Name: "state", Value: n.State.String()})
--- a/wharfnode/internal/wharfcluster/follower.go
+++ b/wharfnode/internal/wharfcluster/follower.go
@@ -42,8 +42,8 @@
 	rng   *rand.Rand
 	// failed is whether the last read failed.
 	failed bool
-	// reader is whether this node is a reader. It was computed at this version of
-	// the view.
+	// reader is whether this node is a reader, and version is the version of the
+	// view at which reader was computed.
 	version uint64
 	reader  bool
 	// pending holds the records after a gap until one of them is a snapshot
--- a/wharfnode/internal/wharfcluster/ownership.go
+++ b/wharfnode/internal/wharfcluster/ownership.go
@@ -46,7 +46,7 @@
 			pause = ownershipInterval
 			continue
 		}
-		if o.announce(ctx, mergeNames(served, owned)) {
+		if o.announceOwnership(ctx, mergeNames(served, owned)) {
 			pause = ownershipInterval
 		} else {
 			pause = min(2*pause, maxAppendPause)
@@ -67,7 +67,9 @@
 	o.agent.Log.Emit(wharfevents.IncarnationRaised, wharfevents.Field{Name: "incarnation", Value: o.agent.View.Incarnation()})
 }
 
-func (o *ownership) announce(ctx context.Context, services []string) bool {
+// announceOwnership appends the record to the log that makes this node an owner of
+// keys of the services. It reports whether the record shows in the state in time.
+func (o *ownership) announceOwnership(ctx context.Context, services []string) bool {
 	self := o.agent.View.Self()
 	record := wharfidempotency.OwnershipRecord{
 		Kind: wharfidempotency.Announce, Node: self.Node, Incarnation: self.Incarnation,
@@ -148,9 +150,10 @@
 	}
 }
 
-// ReleaseOwnership ends the ownership of this node at a planned stop, and sends
-// its key records to the next owners. It fails if the context ends before the
-// release shows in the state.
+// ReleaseOwnership ends the ownership of this node at a planned stop, sends its
+// key records to the next owners, and then records the hand-over in the log. It
+// fails if the context ends before the release shows in the state, or if one of
+// the later steps fails.
 func (a *Agent) ReleaseOwnership(ctx context.Context) error {
 	a.releasing.Store(true)
 	if len(a.owned()) == 0 {
@@ -167,6 +170,8 @@
 	if err := a.handOver(ctx); err != nil {
 		return err
 	}
+	// After this record, the next owners no longer consult this node before they
+	// run a key that it owned.
 	record.Kind = wharfidempotency.HandedOver
 	data, err := wharfstate.Envelope{Ownership: &record}.Encode()
 	if err != nil {
--- a/wharfnode/internal/wharfcluster/registration.go
+++ b/wharfnode/internal/wharfcluster/registration.go
@@ -46,6 +46,7 @@
 	}
 }
 
+// enter writes the entry of this node. It reports whether that succeeded.
 func (r *registration) enter(ctx context.Context) bool {
 	err := r.agent.Directory.Register(ctx, r.agent.View.SelfMember())
 	if err != nil {
--- a/wharfnode/internal/wharfprocess/once_test.go
+++ b/wharfnode/internal/wharfprocess/once_test.go
@@ -97,6 +97,8 @@
 			s.other = s.startVM("domain-c", "reads")
 			s.awaitConvergence()
 			first := make(chan reply, 1)
+			// The target counts a request without a key under its tag, so the
+			// tag is the text under which effects looks up the count.
 			go func() { first <- s.other.bookWithoutKey(s.key, 2*time.Second) }()
 			wharftest.Eventually(t, "the request runs", func() bool {
 				for _, v := range s.vms {
--- a/wharfnode/internal/wharfview/members.go
+++ b/wharfnode/internal/wharfview/members.go
@@ -142,8 +142,8 @@
 	return out
 }
 
-// MonitorCount returns how many nodes monitor a node, which is as many as that
-// node monitors itself.
+// MonitorCount returns how many nodes monitor a node. A node is monitored by as
+// many nodes as it monitors.
 func (v *View) MonitorCount(node string) int {
 	v.membersMu.Lock()
 	defer v.membersMu.Unlock()
--- a/wharfnode/wharfevents/catalogue.go
+++ b/wharfnode/wharfevents/catalogue.go
@@ -31,7 +31,8 @@
 	PauseNoticed     = Event{1006, "pause-noticed", log.WarnLevel, "process was paused"}
 )
 
-// Events of requests.
+// Events of requests. LateResponse means that an attempt received the response to
+// another attempt.
 var (
 	BadRequest         = Event{2001, "bad-request", log.WarnLevel, "request refused for bad input"}
 	LateResponse       = Event{2002, "late-answer", log.WarnLevel, "response of another attempt discarded"}
@@ -69,7 +70,9 @@
 	AuditUnavailable = Event{4011, "audit-unavailable", log.WarnLevel, "audit record couldn't be written"}
 )
 
-// Events of membership and ownership of keys.
+// Events of membership and ownership of keys. IncarnationRaised means that this node
+// raised its own incarnation, because it was evicted or because other nodes hold an
+// entry of this node with a higher incarnation.
 var (
 	MemberDown        = Event{5001, "member-down", log.WarnLevel, "node declared down"}
 	MemberChanged     = Event{5002, "member-joined", log.DebugLevel, "member entry changed"}
--- a/wharfnode/wharfprotocol/native.go
+++ b/wharfnode/wharfprotocol/native.go
@@ -21,7 +21,8 @@
 type Native struct{}
 
 // Identify reads the headers of a request. It returns the reason for a refusal if
-// the service is missing or a header is malformed.
+// the service is missing or a header is malformed. A service name that is too long
+// counts as missing, and a caller name that is too long as a malformed key.
 func (Native) Identify(r *http.Request) (Request, wharfoutcome.Reason) {
 	q := Request{
 		Service: serviceOf(r),
--- a/wharfnode/wharfserver/idempotency_test.go
+++ b/wharfnode/wharfserver/idempotency_test.go
@@ -23,6 +23,8 @@
 	for _, domain := range []string{"domain-a", "domain-b", "domain-c"} {
 		c.startTarget(c.startNode(domain), "bookings", e.book)
 	}
+	// A UUIDv7 contains the time at which the key was generated, which the node
+	// reads. An opaque key doesn't, so keys of both kinds are tested.
 	for _, key := range []string{"opaque-1", "opaque-2", uuid.Must(uuid.NewV7()).String()} {
 		t.Run(key, func(t *testing.T) {
 			is := is.New(t)
--- a/wharfnode/wharfsettings/settings.go
+++ b/wharfnode/wharfsettings/settings.go
@@ -13,7 +13,7 @@
 // Settings holds the settings of a node.
 type Settings struct {
 	CallerListen  string   `default:"127.0.0.1:7000" env:"WHARF_CALLER_LISTEN" help:"IP:port for requests of callers and services (HTTP/1.1 and h2c)."`
-	NodeListen    string   `default:"127.0.0.1:7001" env:"WHARF_NODE_LISTEN" help:"IP:port for calls from other nodes (gRPC)."`
+	NodeListen    string   `default:"127.0.0.1:7001" env:"WHARF_NODE_LISTEN" help:"IP:port for calls (HTTP/1.1) and gRPC requests of other nodes."`
 	AdminListen   string   `default:"127.0.0.1:7002" env:"WHARF_ADMIN_LISTEN" help:"IP:port for the admin API, metrics and target announcements."`
 	Advertise     string   `env:"WHARF_ADVERTISE" help:"IP:port at which other nodes reach --node-listen; defaults to --node-listen."`
 	FailureDomain string   `env:"WHARF_FAILURE_DOMAIN" help:"Failure domain of this VM."`
--- a/wharfstandin/internal/wharfload/request.go
+++ b/wharfstandin/internal/wharfload/request.go
@@ -103,8 +103,8 @@
 }
 
 // resendDelay returns how long the caller waits after a failed send: the time
-// of the retry-after hint if the caller is polite and the response has one,
-// else defaultResendDelay.
+// of the retry-after hint if the plan sets HonorRetryAfter and the response has
+// a hint, else defaultResendDelay.
 func (u *userRequest) resendDelay(response *http.Response) time.Duration {
 	ms, err := strconv.Atoi(response.Header.Get(wharfwire.HeaderRetryAfterMs))
 	if !u.generator.plan.HonorRetryAfter || err != nil {
--- a/wharfstandin/internal/wharftargetservice/target.go
+++ b/wharfstandin/internal/wharftargetservice/target.go
@@ -42,8 +42,8 @@
 	announceInterval = 500 * time.Millisecond
 	// coldStartFactor is the factor on the service time during Config.ColdStart.
 	coldStartFactor = 5
-	// leaveDelay is the time that the node has to stop sending requests after a
-	// target has announced that it leaves, before the target shuts down.
+	// leaveDelay is how long a target waits between notifying its node that it
+	// leaves and shutting down, so that the node stops sending requests first.
 	leaveDelay    = 500 * time.Millisecond
 	crashExitCode = 3
 )
