--- a/wharfctl/audit.go
+++ b/wharfctl/audit.go
@@ -67,7 +67,8 @@
 }
 
 // ownershipLines returns a line for each record about the ownership of keys. The
-// line of an eviction names its author and then the evicted node.
+// line of an eviction names its author and then the evicted node. The lines keep
+// their form, because programs may parse them.
 func ownershipLines(records []wharfstream.Record) []auditLine {
 	var out []auditLine
 	for _, r := range records {
@@ -77,9 +78,9 @@
 		}
 		actor := e.Ownership.Node
 		if e.Ownership.Kind == wharfidempotency.Evict {
-			actor = e.Ownership.By + " evicted " + e.Ownership.Node
+			actor = e.Ownership.By + " for " + e.Ownership.Node
 		}
-		out = append(out, auditLine{r.Time, fmt.Sprintf("%s: ownership record %q at offset %d", actor, e.Ownership.Kind, r.Offset)})
+		out = append(out, auditLine{r.Time, fmt.Sprintf("%s: ownership %s at offset %d", actor, e.Ownership.Kind, r.Offset)})
 	}
 	return out
 }
