--- a/wharf/wharfquarantine/entry.go
+++ b/wharf/wharfquarantine/entry.go
@@ -20,8 +20,9 @@
 type CrashID struct {
 	// Target is the address of the target that crashed.
 	Target string
-	// Incarnation is the incarnation of the node that detected the crash, and
-	// Number is the count of crashes that the node has detected so far.
+	// Incarnation is the incarnation of the node that detected the crash. Number
+	// counts the crashes of this target that the node has detected since the
+	// target was registered there, from 1.
 	Incarnation uint64
 	Number      int
 }
--- a/wharfnode/internal/wharftarget/crash.go
+++ b/wharfnode/internal/wharftarget/crash.go
@@ -40,7 +40,7 @@
 	s.Log.Emit(wharfevents.DispatchFailed,
 		wharfevents.Field{Name: "target", Value: c.target.address},
 		wharfevents.ErrorField(err))
-	if (conn.idle > staleIdleTime || s.CrashedRefusesConnections) && s.acceptsConnections(c) {
+	if (conn.idle > staleIdleTime || s.CrashedTargetRefusesConnections) && s.acceptsConnections(c) {
 		return wharfoutcome.Uncertain(wharfoutcome.ReasonResponseLost)
 	}
 	s.reportCrash(c)
@@ -58,7 +58,7 @@
 	if reason != wharfoutcome.ReasonNone {
 		return wharfoutcome.Uncertain(reason)
 	}
-	if s.CrashedRefusesConnections && s.acceptsConnections(c) {
+	if s.CrashedTargetRefusesConnections && s.acceptsConnections(c) {
 		return wharfoutcome.Uncertain(wharfoutcome.ReasonResponseIncomplete)
 	}
 	s.reportCrash(c)
--- a/wharfnode/internal/wharftarget/receive.go
+++ b/wharfnode/internal/wharftarget/receive.go
@@ -53,12 +53,12 @@
 	Broadcaster broadcaster
 	Auditor     auditor
 	Protocol    wharfprotocol.TargetProtocol
-	// CrashedRefusesConnections is true if a crashed target refuses connections for
-	// a while. If such a target accepts a new connection after a request has
+	// CrashedTargetRefusesConnections is true if a crashed target refuses connections
+	// for a while. If such a target accepts a new connection after a request has
 	// failed, it has not crashed; only the response was lost.
-	CrashedRefusesConnections bool
-	Log                       wharfevents.Log
-	Metrics                   wharfevents.Metrics
+	CrashedTargetRefusesConnections bool
+	Log                             wharfevents.Log
+	Metrics                         wharfevents.Metrics
 
 	joiners joiners
 	client  dispatcher
--- a/wharfnode/wharfserver/options.go
+++ b/wharfnode/wharfserver/options.go
@@ -42,11 +42,11 @@
 	// NoCallerKeys is true if callers send no idempotency keys. The node then
 	// needs no ownership records.
 	NoCallerKeys bool
-	// CrashedRefusesConnections is true if a crashed target refuses connections for a
-	// while. If such a target accepts a new connection after a request has
+	// CrashedTargetRefusesConnections is true if a crashed target refuses connections
+	// for a while. If such a target accepts a new connection after a request has
 	// failed, the node doesn't record a crash, because only the response was
 	// lost.
-	CrashedRefusesConnections bool
+	CrashedTargetRefusesConnections bool
 	// Readers is the number of nodes of a failure domain that read the log. The
 	// other nodes get its records by gossip. Zero means defaultReaders.
 	Readers int
