--- a/wharf/wharfidempotency/memory.go
+++ b/wharf/wharfidempotency/memory.go
@@ -107,8 +107,8 @@
 }
 
 // full reports whether the shard has no space for another key of the caller. This
-// is so if the shard is full, or if it is half full and the caller already has
-// its share of the keys.
+// is so if the shard is full, or if it is at least half full and the caller already
+// has an equal share of its capacity. One further caller is counted in the shares.
 func (s *keyShard) full(caller string) bool {
 	if len(s.entries) >= maxKeysPerShard {
 		return true
--- a/wharf/wharfstate/state.go
+++ b/wharf/wharfstate/state.go
@@ -125,8 +125,8 @@
 	return newest
 }
 
-// applier collects the records of one WithRecords call, so that the maps are
-// copied only once.
+// applier collects the records of one WithRecords call, so that the maps in the
+// configuration and in the ownership table are copied only once.
 type applier struct {
 	base             *State
 	offset           uint64
--- a/wharfnode/internal/wharfcluster/exchange.go
+++ b/wharfnode/internal/wharfcluster/exchange.go
@@ -23,8 +23,8 @@
 	maxRecentBytes = 4 << 10
 	// maxRecentRecords bounds the number of recent records in one request.
 	maxRecentRecords = 8
-	// maxEntries is the number of member entries in a message from which on no
-	// further bucket is added.
+	// maxEntries bounds the member entries in one message: once the message has
+	// this many, no further bucket of entries is added.
 	maxEntries = 512
 	// joinEntries is about how many member entries a joining node gets from a
 	// seed. The joining node gets the other entries from these members.
--- a/wharfnode/internal/wharfcluster/expiry.go
+++ b/wharfnode/internal/wharfcluster/expiry.go
@@ -24,10 +24,10 @@
 	pauseThreshold = 2 * time.Second
 )
 
-// expiry removes targets that stopped renewing their announcement, and records of
-// keys that are no longer needed. The record of a key is needed for the sum of the
-// three times in wharfidempotency.DedupWindow. expiry also closes connections to
-// nodes that have left.
+// expiry removes targets that stopped renewing their announcement, and key entries
+// that are no longer needed. A key entry is needed for the sum of the three times
+// in wharfidempotency.DedupWindow. expiry also closes connections to nodes that
+// have left.
 type expiry struct {
 	agent *Agent
 }
--- a/wharfnode/internal/wharfcluster/follower.go
+++ b/wharfnode/internal/wharfcluster/follower.go
@@ -46,9 +46,10 @@
 	// view at which reader was computed.
 	version uint64
 	reader  bool
-	// pending holds the records after a gap until one of them is a snapshot
-	// that covers the gap. from is the offset of the next read during a gap,
-	// else zero.
+	// pending holds the records read after a gap, that is, after records that
+	// expired in the log before this node read them. They are kept until one of
+	// them is a snapshot that covers the gap. Until then, from is the offset of
+	// the next read; without a gap it is zero.
 	pending []wharfstream.Record
 	from    uint64
 }
--- a/wharfnode/internal/wharfcluster/ownership.go
+++ b/wharfnode/internal/wharfcluster/ownership.go
@@ -25,7 +25,7 @@
 	applyTimeout = 3 * time.Second
 	// maxAppendPause bounds the exponential backoff between appends.
 	maxAppendPause = 10 * time.Second
-	// handOverBatch bounds the number of key records in one message.
+	// handOverBatch bounds the number of key entries in one message.
 	handOverBatch = 128
 )
 
@@ -151,7 +151,7 @@
 }
 
 // ReleaseOwnership ends the ownership of this node at a planned stop, sends its
-// key records to the next owners, and then records the hand-over in the log. It
+// key entries to the next owners, and then records the hand-over in the log. It
 // fails if the context ends before the release shows in the state, or if one of
 // the later steps fails.
 func (a *Agent) ReleaseOwnership(ctx context.Context) error {
@@ -181,7 +181,7 @@
 	return err
 }
 
-// handOver sends each key record to the present owner of its key.
+// handOver sends each key entry to the present owner of its key.
 func (a *Agent) handOver(ctx context.Context) error {
 	batches := map[string][]*wharfwire.KeyRecord{}
 	now := time.Now()
--- a/wharfnode/internal/wharfproxy/attempt.go
+++ b/wharfnode/internal/wharfproxy/attempt.go
@@ -133,10 +133,11 @@
 }
 
 // routingResult returns the result for the balancer that follows from the reason of
-// a failure, or fallback for all other reasons. ReasonUnreachable comes from the
-// target's node here and means that the target's node could not connect to the
-// target. The balancer ejects a target at once for wharfrouting.Unreachable; the same
-// applies to a target that its node does not have or that is unresponsive.
+// a failure, or fallback for all other reasons. The result Unreachable makes the
+// balancer eject the target at once. It is returned for a target that its node does
+// not have or that is unresponsive. ReasonUnreachable comes from the target's node
+// here and means that this node could not connect to the target; the result is only
+// TargetFailed.
 func routingResult(reason wharfoutcome.Reason, fallback wharfrouting.Result) wharfrouting.Result {
 	switch reason {
 	case wharfoutcome.ReasonTargetCrashed, wharfoutcome.ReasonUnreachable:
--- a/wharfnode/internal/wharfproxy/send.go
+++ b/wharfnode/internal/wharfproxy/send.go
@@ -169,9 +169,9 @@
 
 // observeQueueDelay records the queue delay of a call made by a target on this
 // VM. A call that was rejected counts with the maximum delay. Client requests don't
-// count: a depth above zero shows that the call has a parent call, and for a call
-// without a context the called node reports in FromService whether services make
-// the calls of this route.
+// count. A call with a depth above zero has a parent call, so it is no client
+// request. A call without a context has depth zero; for it, the called node reports
+// in FromService whether services make the calls of this route.
 func (s *attemptLoop) observeQueueDelay() {
 	report := s.last.report
 	if report == nil || !report.FromService && s.call.depth == 0 {
--- a/wharfnode/internal/wharfproxy/services.go
+++ b/wharfnode/internal/wharfproxy/services.go
@@ -84,8 +84,9 @@
 }
 
 // noAlternative reports whether a refusal for overload is final for a request. This
-// is so if no target that the request may still try is known to admit it and have
-// queue capacity left, or to queue a less important request.
+// is so if no target that the request may still try could accept it. A target could
+// accept it if it is known to admit the request and to have queue capacity left, or
+// to have a less important request in its queue, which it would shed first.
 func (s *serviceState) noAlternative(q wharfrouting.Request) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/wharfnode/internal/wharfview/members.go
+++ b/wharfnode/internal/wharfview/members.go
@@ -123,9 +123,9 @@
 	})
 }
 
-// GossipPeers returns the peers of one gossip round: one of the monitored nodes in
-// turn, one random node of the same failure domain and one of another failure
-// domain.
+// GossipPeers returns the peers of one gossip round: one of the nodes that this
+// node monitors for failures (see wharfmember.Table.Monitored), in turn, one random
+// node of the same failure domain and one of another failure domain.
 func (v *View) GossipPeers(round int, rng *rand.Rand) []wharfmember.Member {
 	v.membersMu.Lock()
 	defer v.membersMu.Unlock()
--- a/wharfnode/wharfevents/catalogue.go
+++ b/wharfnode/wharfevents/catalogue.go
@@ -37,7 +37,7 @@
 	BadRequest         = Event{2001, "bad-request", log.WarnLevel, "request refused for bad input"}
 	LateResponse       = Event{2002, "late-answer", log.WarnLevel, "response of another attempt discarded"}
 	ResponseIncomplete = Event{2003, "answer-incomplete", log.WarnLevel, "response truncated"}
-	DispatchFailed     = Event{2004, "dispatch-failed", log.WarnLevel, "target aborted a request"}
+	DispatchFailed     = Event{2004, "dispatch-failed", log.WarnLevel, "dispatch to the target failed"}
 	RequestServed      = Event{2005, "request-served", log.InfoLevel, "request completed with the response of a target"}
 	RequestUnserved    = Event{2006, "request-unserved", log.WarnLevel, "request ended without the response of a target"}
 	AttemptFailed      = Event{2007, "attempt-failed", log.WarnLevel, "attempt ended without a response"}
--- a/wharfnode/wharfevents/metrics.go
+++ b/wharfnode/wharfevents/metrics.go
@@ -28,7 +28,9 @@
 	metrics.WriteProcessMetrics(w)
 }
 
-// Call counts a caller's request that ended at the proxy, and records its duration.
+// Call counts a request that ended at the proxy of the sending node, however many
+// attempts it took, and records its duration. The name of the metric calls such a
+// request a call.
 func (m Metrics) Call(class string, o wharfoutcome.Outcome, elapsed time.Duration) {
 	if m.set == nil {
 		return
@@ -45,7 +47,8 @@
 	m.set.GetOrCreateCounter(fmt.Sprintf("wharf_attempts_total{retry=%q}", fmt.Sprint(retry))).Inc()
 }
 
-// Dispatch counts a call that ended at the target's node.
+// Dispatch counts a call that ended at the target's node, whether or not the node
+// dispatched it to the target.
 func (m Metrics) Dispatch(class string, o wharfoutcome.Outcome) {
 	if m.set == nil {
 		return
